--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Admission.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Admission.java
@@ -2,49 +2,50 @@
 
 import java.util.Optional;
 
-/** Whether a call that finds no slot may wait for one, and when a refused caller is to come back. */
+/** Decides whether a call without a free slot may queue, and computes the retry delay of a refused call. */
 final class Admission {
 
-    /** A refused caller is asked to stay away at least this long, or it would meet the same queue. */
-    private static final long SHORTEST_RETRY_MS = 300;
+    /** Minimum delay before a retry; an earlier retry would meet the same queue. */
+    private static final long MIN_RETRY_AFTER_MS = 300;
 
-    /** Longest time to stay away: bursts last seconds, and callers' deadlines are a few of them. */
-    private static final long LONGEST_RETRY_MS = 4_000;
+    /** Maximum delay before a retry: bursts last seconds, and callers' deadlines are only a few times that long. */
+    private static final long MAX_RETRY_AFTER_MS = 4_000;
 
-    private static final long NO_TARGET_RETRY_MS = 1_000;
+    private static final long NO_TARGET_RETRY_AFTER_MS = 1_000;
 
     private final FleetView fleet;
     private final boolean refuseEarly;
 
     /**
-     * Creates one.
+     * Creates the admission check.
      *
-     * @param refuseEarly whether a call is refused at once when it would wait too long; else when it has
+     * @param refuseEarly whether to refuse a call as soon as its expected wait is too long; otherwise it is refused
+     *     when it has waited that long
      */
     Admission(FleetView fleet, boolean refuseEarly) {
         this.fleet = fleet;
         this.refuseEarly = refuseEarly;
     }
 
-    /** Whether a call would wait longer than it may. */
-    boolean waitsTooLong(Call call, WaitEstimate estimate, long nowMs) {
+    /** Whether the expected wait of a call ends after its queue deadline. */
+    boolean exceedsMaxWait(Call call, WaitEstimate estimate, long nowMs) {
         return refuseEarly && nowMs + estimate.waitMs() > call.holdUntilMs();
     }
 
-    /** How long a call that goes by {@code rank} would wait. */
+    /** Estimates how long a call that is queued with {@code rank} would wait. */
     WaitEstimate expectedWait(Call call, int rank, ServiceTargets service, ServiceDemand demand, long nowMs) {
-        int routers = fleet.sharing(service).others() + 1;
+        int routers = fleet.routersSharing(service).others() + 1;
         return demand.expectedWait(call, rank, service, routers, nowMs);
     }
 
-    /** Refuses a call that would wait too long, or has. */
+    /** Refuses a call whose expected or actual wait is too long. */
     static Verdict.Refuse refuse(Call call, Verdict.Reason reason, WaitEstimate estimate) {
-        long retryMs = Math.max(SHORTEST_RETRY_MS, Math.min(LONGEST_RETRY_MS, estimate.waitMs()));
+        long retryMs = Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, estimate.waitMs()));
         return new Verdict.Refuse(call, reason, retryMs, Optional.of(estimate));
     }
 
-    /** Refuses a call whose service has no target that takes calls. */
+    /** Refuses a call because no target of its service accepts calls. */
     static Verdict.Refuse refuseWithoutTarget(Call call) {
-        return new Verdict.Refuse(call, Verdict.Reason.NO_TARGET, NO_TARGET_RETRY_MS, Optional.empty());
+        return new Verdict.Refuse(call, Verdict.Reason.NO_TARGET, NO_TARGET_RETRY_AFTER_MS, Optional.empty());
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/AnswerLengths.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/AnswerLengths.java
@@ -4,47 +4,48 @@
 import java.util.Map;
 
 /**
- * How long answers of each route lately were, in events. Callers' limits are often far above it, so it is learned;
- * where a caller says what it expects, that is taken, as it has lately compared with what came.
+ * Estimates the number of events in a response, per route. Callers' limits are often far above the actual length, so
+ * the length is learned. If the caller supplies an estimate, it is scaled by the recent ratio of actual to estimated
+ * length.
  */
 public final class AnswerLengths {
 
-    /** Weight of the newest answer: lengths vary widely, so about the last fifty decide. */
-    private static final double WEIGHT = 0.02;
+    /** Weight of the newest response. Lengths vary widely, so the average spans about 50 responses. */
+    private static final double SMOOTHING_FACTOR = 0.02;
 
-    private static final double FIRST_EVENTS = 30;
+    private static final double INITIAL_EVENTS = 30;
 
-    /** Events that an expected token makes before any answer has ended. */
-    private static final double FIRST_EVENTS_A_TOKEN = 0.2;
+    /** Events per estimated token, until the first response has ended. */
+    private static final double INITIAL_EVENTS_PER_TOKEN = 0.2;
 
-    private final Map<String, Recent> byRoute = new HashMap<>();
+    private final Map<String, RouteAverages> byRoute = new HashMap<>();
 
-    /** Smoothed lengths of a route's answers, and of those of callers that expected something. */
-    private static final class Recent {
-        private double events = FIRST_EVENTS;
-        private double eventsOfExpected = FIRST_EVENTS;
-        private double tokensExpected = FIRST_EVENTS / FIRST_EVENTS_A_TOKEN;
+    /** Moving averages of a route: all responses, and those whose callers supplied an estimate. */
+    private static final class RouteAverages {
+        private double meanEvents = INITIAL_EVENTS;
+        private double meanEventsWithEstimate = INITIAL_EVENTS;
+        private double meanEstimatedTokens = INITIAL_EVENTS / INITIAL_EVENTS_PER_TOKEN;
     }
 
     /**
-     * Events an answer of a route will probably have.
+     * Returns the expected number of events in a response of a route.
      *
-     * @param expectedTokens what its caller expects; 0 for nothing
+     * @param expectedTokens the caller's estimate; 0 for none
      */
     public long expectedEvents(String route, long expectedTokens) {
-        Recent recent = byRoute.computeIfAbsent(route, r -> new Recent());
+        RouteAverages recent = byRoute.computeIfAbsent(route, r -> new RouteAverages());
         return expectedTokens <= 0
-                ? Math.round(recent.events)
-                : Math.max(1, Math.round(expectedTokens * recent.eventsOfExpected / recent.tokensExpected));
+                ? Math.round(recent.meanEvents)
+                : Math.max(1, Math.round(expectedTokens * recent.meanEventsWithEstimate / recent.meanEstimatedTokens));
     }
 
-    /** Notes an answer that ended whole. */
-    public void ended(String route, int events, long expectedTokens) {
-        Recent recent = byRoute.computeIfAbsent(route, r -> new Recent());
-        recent.events += WEIGHT * (events - recent.events);
+    /** Records a response that completed. */
+    public void ended(String route, int meanEvents, long expectedTokens) {
+        RouteAverages recent = byRoute.computeIfAbsent(route, r -> new RouteAverages());
+        recent.meanEvents += SMOOTHING_FACTOR * (meanEvents - recent.meanEvents);
         if (expectedTokens > 0) {
-            recent.eventsOfExpected += WEIGHT * (events - recent.eventsOfExpected);
-            recent.tokensExpected += WEIGHT * (expectedTokens - recent.tokensExpected);
+            recent.meanEventsWithEstimate += SMOOTHING_FACTOR * (meanEvents - recent.meanEventsWithEstimate);
+            recent.meanEstimatedTokens += SMOOTHING_FACTOR * (expectedTokens - recent.meanEstimatedTokens);
         }
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/BeginQueue.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/BeginQueue.java
@@ -7,25 +7,25 @@
 import java.util.TreeSet;
 
 /**
- * Calls that a router has read and not begun to work on, the most urgent first, of one rank in the order in which they
- * came. It is empty but while the router is short of processor time. A router that has just started spends on each
- * call several times what it spends later, so that for its first seconds calls arrive faster than it can begin them;
- * begun as they come, all of them are late, the most urgent included.
+ * Queue of calls that a router has read but not started to process, ordered by rank and then by arrival. It is empty
+ * unless the router is short of CPU. A router that has just started spends several times the usual CPU time on each
+ * call, so for its first seconds calls arrive faster than it can process them. Processed in arrival order, all of them
+ * would be late, including the most urgent ones.
  *
  * <p>Not thread-safe. Times are milliseconds of one monotonic clock.
  *
- * @param <T> what stands for a call
+ * @param <T> type that represents a call
  */
 public final class BeginQueue<T> {
 
-    /** Weight of the newest sample of the time between two begins: about the last seven decide. */
-    private static final double WEIGHT = 0.15;
+    /** Weight of the newest interval between two dequeued calls; the average spans about seven. */
+    private static final double SMOOTHING_FACTOR = 0.15;
 
     private final TreeSet<Entry<T>> entries =
             new TreeSet<>(Comparator.<Entry<T>>comparingInt(Entry::rank).thenComparingLong(Entry::number));
     private long added;
     private double msPerCall;
-    private long begunAtMs = -1;
+    private long lastDequeuedAtMs = -1;
 
     private record Entry<T>(T call, int rank, long holdUntilMs, long number) {}
 
@@ -36,12 +36,12 @@
         return new BeginQueue<>();
     }
 
-    /** True when nothing waits to be begun. */
+    /** Returns whether no call is queued. */
     public boolean isEmpty() {
         return entries.isEmpty();
     }
 
-    /** Calls that wait. */
+    /** Returns the number of queued calls. */
     public int size() {
         return entries.size();
     }
@@ -49,34 +49,35 @@
     /**
      * Adds a call.
      *
-     * @param holdUntilMs until when it may wait
+     * @param holdUntilMs when the call expires from the queue
      */
     public void add(T call, int rank, long holdUntilMs) {
         entries.add(new Entry<>(call, rank, holdUntilMs, added++));
     }
 
-    /** Takes out the call to begin now. */
+    /** Removes and returns the call to process next. */
     public Optional<T> next(long nowMs) {
         Entry<T> first = entries.pollFirst();
         if (first == null) {
             return Optional.empty();
         }
-        if (begunAtMs >= 0) {
-            msPerCall += WEIGHT * (nowMs - begunAtMs - msPerCall);
+        if (lastDequeuedAtMs >= 0) {
+            msPerCall += SMOOTHING_FACTOR * (nowMs - lastDequeuedAtMs - msPerCall);
         }
-        // Between the last of a backlog and the first of the next one the router was idle, not slow.
-        begunAtMs = entries.isEmpty() ? -1 : nowMs;
+        // Between the last call of a backlog and the first of the next one the router was idle, so that interval is
+        // skipped.
+        lastDequeuedAtMs = entries.isEmpty() ? -1 : nowMs;
         return Optional.of(first.call());
     }
 
-    /** Takes out those that have waited as long as they may. */
+    /** Removes and returns the calls whose queue deadline has passed. */
     public List<T> expired(long nowMs) {
         List<T> out = new ArrayList<>();
         entries.removeIf(e -> nowMs >= e.holdUntilMs() && out.add(e.call()));
         return out;
     }
 
-    /** How long a call of a rank would probably wait: those ahead of it, at the time that each has lately taken. */
+    /** Returns the expected wait of a call of a rank: the number of calls ahead times the recent time per call. */
     public long expectedWaitMs(int rank) {
         int ahead = 0;
         for (Entry<T> e : entries) {
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Call.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Call.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * One call that wants a target. Its identity is the object: a caller's request that is sent to a second
- * target makes a second call.
+ * A call that needs a target. Identity is by object: a request that is sent to a second target is represented by a
+ * second call.
  */
 public final class Call {
 
@@ -33,62 +33,62 @@
         this.avoid.addAll(b.avoid);
     }
 
-    /** Starts a call of a service that arrived at {@code arrivedAtMs}. */
+    /** Starts building a call of a service that arrived at {@code arrivedAtMs}. */
     public static Builder of(String service, long arrivedAtMs) {
         return new Builder(service, arrivedAtMs);
     }
 
-    /** The service it asks for. */
+    /** The service that is called. */
     public String service() {
         return service;
     }
 
-    /** Its rank, 0 the most urgent. */
+    /** The rank; 0 is the most urgent. */
     public int rank() {
         return rank;
     }
 
-    /** Whether its caller was refused before and came back. */
+    /** Whether this is a retry by a caller that was refused before. */
     public boolean returned() {
         return returned;
     }
 
-    /** Until when its first byte is on time. */
+    /** Deadline for the first byte to count as on time. */
     public long onTimeUntilMs() {
         return onTimeUntilMs;
     }
 
-    /** Until when it may wait for a target. */
+    /** Latest time until which the call may be queued. */
     public long holdUntilMs() {
         return holdUntilMs;
     }
 
-    /** When its answer must be whole. */
+    /** Deadline for the complete response. */
     public long endsAtMs() {
         return endsAtMs;
     }
 
-    /** Longest pause between two events of a stream of its kind that is on time; 0 for no bound. */
+    /** Longest gap between two events of a stream that counts as on time; 0 for no bound. */
     public long gapTargetMs() {
         return gapTargetMs;
     }
 
-    /** Tokens of its prompt; 0 for a plain call. */
+    /** Number of prompt tokens; 0 for a plain call. */
     public long promptTokens() {
         return promptTokens;
     }
 
-    /** Events its answer is expected to have; 0 for a plain call. */
+    /** Expected number of events in the response; 0 for a plain call. */
     public long outputEvents() {
         return outputEvents;
     }
 
-    /** Incarnations of targets that it must not go to again. */
+    /** Incarnations of targets that this call must not be sent to again. */
     public Set<String> avoid() {
         return avoid;
     }
 
-    /** Collects a call's fields. */
+    /** Builds a {@link Call}. */
     public static final class Builder {
 
         private final String service;
@@ -108,46 +108,46 @@
             this.holdUntilMs = arrivedAtMs;
         }
 
-        /** Sets the rank and whether its caller came back. */
-        public Builder rank(int value, boolean cameBack) {
+        /** Sets the rank and whether this is a retry. */
+        public Builder rank(int value, boolean retry) {
             rank = value;
-            returned = cameBack;
+            returned = retry;
             return this;
         }
 
-        /** Sets until when it is on time and until when it may wait. */
+        /** Sets the deadline of the first byte and the latest time until which the call may be queued. */
         public Builder times(long onTimeMs, long holdMs) {
             onTimeUntilMs = onTimeMs;
             holdUntilMs = holdMs;
             return this;
         }
 
-        /** Sets when its answer must be whole. */
+        /** Sets the deadline of the complete response. */
         public Builder endsAt(long ms) {
             endsAtMs = ms;
             return this;
         }
 
-        /** Sets the longest pause between two events that is on time. */
+        /** Sets the longest gap between two events that counts as on time. */
         public Builder gapTarget(long ms) {
             gapTargetMs = ms;
             return this;
         }
 
-        /** Sets the size of its work. */
+        /** Sets the number of prompt tokens and the expected number of response events. */
         public Builder work(long tokens, long events) {
             promptTokens = tokens;
             outputEvents = events;
             return this;
         }
 
-        /** Names incarnations of targets that it must not go to. */
+        /** Adds incarnations of targets that the call must not be sent to. */
         public Builder avoid(Set<String> incarnations) {
             avoid.addAll(incarnations);
             return this;
         }
 
-        /** Makes the call. */
+        /** Builds the call. */
         public Call build() {
             return new Call(this);
         }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/CallTimes.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/CallTimes.java
@@ -1,39 +1,40 @@
 package org.onyxhinge.core.place;
 
 /**
- * The times that decide about one caller's request, all of one monotonic clock.
+ * Deadlines of one request, all on the same monotonic clock, and whether it is a retry by a caller that was refused
+ * before.
  *
- * @param returned whether its caller was refused before and came back
- * @param onTimeUntilMs until when its first byte is on time, counted from when its caller first asked
- * @param holdUntilMs until when it may wait for a target
- * @param endsAtMs when it must have its final answer
+ * @param onTimeUntilMs deadline for the first byte to count as on time, measured from the caller's first attempt
+ * @param holdUntilMs latest time until which the request may be queued
+ * @param endsAtMs deadline for the complete response
  */
 public record CallTimes(boolean returned, long onTimeUntilMs, long holdUntilMs, long endsAtMs) {
 
-    /** Below this, a further target could not answer in time. */
+    /** Minimum remaining time for an attempt at a target; with less, no target could respond in time. */
     public static final long LEAST_TIME_MS = 30;
 
     /**
-     * A call may wait this much beyond its target latency: a late answer is still of use, but a stream's
-     * caller leaves after a gap of 2 s, 4 latencies or 8 pauses.
+     * How long a call may be queued beyond its target latency. A late response is still useful, but the caller of a
+     * stream gives up after a gap of 2 s, 4 times the latency or 8 times the event gap.
      */
-    private static final long LATE_HOLD_MS = 600;
+    private static final long MAX_LATE_WAIT_MS = 600;
 
-    /** A caller that has lost less of its deadline than this was not sent away: it only took long to connect. */
-    private static final long LEAST_ABSENCE_MS = 25;
+    /** A smaller reduction of the caller's deadline is connection set-up time and not an earlier refusal. */
+    private static final long MIN_RETRY_ELAPSED_MS = 25;
 
     /**
-     * Works out the times of a request that arrives.
+     * Computes the deadlines of an arriving request.
      *
-     * @param waitedBeforeMs how long its caller has waited since it first asked
-     * @param targetLatencyMs time within which its first byte is on time
-     * @param deadlineMs how long its caller will wait from now on, or its route's timeout if that is less
+     * @param waitedBeforeMs time since the caller's first attempt
+     * @param targetLatencyMs time within which the first byte is on time
+     * @param deadlineMs time left for the response: the caller's deadline or the route's timeout, whichever is
+     *     shorter
      */
     public static CallTimes of(long arrivedAtMs, long waitedBeforeMs, long targetLatencyMs, long deadlineMs) {
-        boolean returned = waitedBeforeMs >= LEAST_ABSENCE_MS;
+        boolean returned = waitedBeforeMs >= MIN_RETRY_ELAPSED_MS;
         long endsAtMs = arrivedAtMs + deadlineMs;
         long onTimeUntilMs = arrivedAtMs - (returned ? waitedBeforeMs : 0) + targetLatencyMs;
-        long holdUntilMs = Math.min(arrivedAtMs + targetLatencyMs + LATE_HOLD_MS, endsAtMs - LEAST_TIME_MS);
+        long holdUntilMs = Math.min(arrivedAtMs + targetLatencyMs + MAX_LATE_WAIT_MS, endsAtMs - LEAST_TIME_MS);
         return new CallTimes(returned, onTimeUntilMs, holdUntilMs, endsAtMs);
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/CallerDeadlines.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/CallerDeadlines.java
@@ -5,114 +5,119 @@
 import java.util.Map;
 
 /**
- * What callers of each route usually state as their deadline when they first ask. A caller that was refused and
- * comes back states what is left of it, so the difference tells how long its request has waited already, and
- * with it until when an answer is still on time.
+ * Learns the deadline that callers of each route usually send with their first attempt. A retry after a refusal carries
+ * only the remaining time, so the difference shows how long the request has already waited, and therefore when its
+ * first byte is due.
  *
- * <p>The usual value is a high quantile of the last few: first tries are more frequent than repeats, and a few
- * callers are more patient than the rest. Some sites' callers are all unlike in patience; how much is learned while
- * nobody is refused, when all are first tries, and a deadline within that of the usual one tells nothing. Patience is
- * the callers' and not the routes', so it is learned as a part of the usual deadline and of all routes together: one
- * router of many sees a few calls of each before the first is refused.
+ * <p>The usual value is a high quantile of the recent deadlines: first attempts outnumber retries, and a few callers
+ * use longer deadlines than the rest. At some sites the deadlines of first attempts vary. That spread is measured while
+ * no call is refused, when every request is a first attempt, and a deadline within the spread of the usual one counts
+ * as a first attempt. The spread is a property of the callers and not of the route, so it is kept as a fraction of the
+ * usual deadline and shared by all routes: one router of many sees only a few calls of each route before the first
+ * refusal.
  */
 public final class CallerDeadlines {
 
-    /** Enough for a steady quantile, few enough that a change of the callers shows within seconds. */
-    private static final int REMEMBERED = 64;
+    /** Large enough for a stable quantile, small enough to follow a change of the callers' deadlines within seconds. */
+    private static final int WINDOW_SIZE = 64;
 
-    /** Up to a tenth of the callers may be more patient than usual without moving the value. */
+    /** Up to a tenth of the callers may use a longer deadline without changing the value. */
     private static final double QUANTILE = 0.9;
 
-    /** Up to a tenth of those that seem to ask first may have failed elsewhere, not been refused, and come back. */
+    /** Up to a tenth of the apparent first attempts may be retries after a failure elsewhere. */
     private static final double LOW_QUANTILE = 0.1;
 
-    /** Patience is taken as spread evenly: from the low quantile to the least is a quarter of its way to the middle. */
-    private static final double BEYOND_LOW_PART = 0.25;
+    /**
+     * Assumes evenly spread deadlines: the minimum lies below the low quantile by a quarter of the distance from the
+     * low quantile to the median.
+     */
+    private static final double LOW_TAIL_FRACTION = 0.25;
 
-    /** Fewer first tries say too little of the spread. */
-    private static final int LEAST_FIRST_TRIES = 8;
+    /** Minimum number of first attempts for estimating the spread. */
+    private static final int MIN_FIRST_TRIES = 8;
 
-    /** Deadlines as parts of the usual one are kept as whole numbers, of this for one. */
-    private static final long WHOLE = 10_000;
+    /** Fixed-point scale of deadlines expressed as fractions of the usual one. */
+    private static final long FRACTION_SCALE = 10_000;
 
-    /** Sorting is spread over so many calls. */
-    private static final int RECKON_EVERY = 8;
+    /** Number of samples between two sorts, to amortize the cost. */
+    private static final int SORT_INTERVAL = 8;
 
-    /** Those who were sent away are back by then: they are asked to stay away for 4 s at most. */
-    private static final long CALLERS_BACK_MS = 5_000;
+    /** Time after a refusal within which the refused callers retry; the longest retry delay is 4 s. */
+    private static final long RETRY_HORIZON_MS = 5_000;
 
-    private final Map<String, Recent> all = new HashMap<>();
-    private final Recent firstTries = new Recent();
-    private long refusedAtMs = -CALLERS_BACK_MS;
+    private final Map<String, RecentDeadlines> byRoute = new HashMap<>();
+    private final RecentDeadlines firstTryFractions = new RecentDeadlines();
+    private long lastRefusedAtMs = -RETRY_HORIZON_MS;
 
     private CallerDeadlines() {}
 
-    /** Creates one that has seen no caller. */
+    /** Creates an instance without samples. */
     public static CallerDeadlines create() {
         return new CallerDeadlines();
     }
 
-    /** The last deadlines, and quantiles of them that lag by a few. */
-    private static final class Recent {
-        private final long[] values = new long[REMEMBERED];
+    /** The most recent deadlines, and quantiles of them that lag by a few samples. */
+    private static final class RecentDeadlines {
+        private final long[] values = new long[WINDOW_SIZE];
         private long[] sorted = {};
         private int count;
 
         void add(long deadlineMs) {
-            values[count++ % REMEMBERED] = deadlineMs;
-            if (count <= RECKON_EVERY || count % RECKON_EVERY == 0) {
-                sorted = Arrays.copyOf(values, Math.min(count, REMEMBERED));
+            values[count++ % WINDOW_SIZE] = deadlineMs;
+            if (count <= SORT_INTERVAL || count % SORT_INTERVAL == 0) {
+                sorted = Arrays.copyOf(values, Math.min(count, WINDOW_SIZE));
                 Arrays.sort(sorted);
             }
         }
 
-        long quantile(double part) {
-            return sorted[(int) ((sorted.length - 1) * part)];
+        long quantile(double fraction) {
+            return sorted[(int) ((sorted.length - 1) * fraction)];
         }
     }
 
-    /** Notes that a caller is sent away, and may come back. */
+    /** Records that a caller is refused and may retry. */
     public void refused(long nowMs) {
-        refusedAtMs = nowMs;
+        lastRefusedAtMs = nowMs;
     }
 
     /**
-     * Does what {@link #waitedBeforeMs(String, long)} does, and learns from callers that come while nobody is refused.
+     * Like {@link #waitedBeforeMs(String, long)}, but also learns the spread of first attempts while no call is
+     * refused.
      *
-     * @return 0 for a first try
+     * @return 0 for a first attempt
      */
     public long waitedBeforeMs(String route, long deadlineMs, long nowMs) {
-        if (nowMs - refusedAtMs > CALLERS_BACK_MS) {
-            firstTry(route, deadlineMs);
+        if (nowMs - lastRefusedAtMs > RETRY_HORIZON_MS) {
+            recordFirstTry(route, deadlineMs);
         }
         return waitedBeforeMs(route, deadlineMs);
     }
 
-    /** Notes the deadline of a caller that asks while nobody is being refused, and so has not come back. */
-    public void firstTry(String route, long deadlineMs) {
-        Recent recent = all.get(route);
+    /** Records the deadline of a first attempt, made while no call is refused. */
+    public void recordFirstTry(String route, long deadlineMs) {
+        RecentDeadlines recent = byRoute.get(route);
         if (recent != null) {
-            firstTries.add(deadlineMs * WHOLE / Math.max(1, recent.quantile(QUANTILE)));
+            firstTryFractions.add(deadlineMs * FRACTION_SCALE / Math.max(1, recent.quantile(QUANTILE)));
         }
     }
 
-    /** How far below the usual deadline first tries are. */
+    /** How far the deadlines of first attempts fall below the usual one. */
     private long spreadMs(long usualMs) {
-        if (firstTries.count < LEAST_FIRST_TRIES) {
+        if (firstTryFractions.count < MIN_FIRST_TRIES) {
             return 0;
         }
-        long low = firstTries.quantile(LOW_QUANTILE);
-        long least = low - (long) ((firstTries.quantile(0.5) - low) * BEYOND_LOW_PART);
-        return (firstTries.quantile(QUANTILE) - least) * usualMs / WHOLE;
+        long low = firstTryFractions.quantile(LOW_QUANTILE);
+        long min = low - (long) ((firstTryFractions.quantile(0.5) - low) * LOW_TAIL_FRACTION);
+        return (firstTryFractions.quantile(QUANTILE) - min) * usualMs / FRACTION_SCALE;
     }
 
     /**
-     * Notes a caller's deadline and tells how long its request has probably waited before it arrived here.
+     * Records a deadline and returns how long the request has probably waited since the caller's first attempt.
      *
-     * @return 0 for a first try
+     * @return 0 for a first attempt
      */
     public long waitedBeforeMs(String route, long deadlineMs) {
-        Recent recent = all.computeIfAbsent(route, r -> new Recent());
+        RecentDeadlines recent = byRoute.computeIfAbsent(route, r -> new RecentDeadlines());
         recent.add(deadlineMs);
         long usualMs = recent.quantile(QUANTILE);
         long belowMs = usualMs - deadlineMs;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/FleetView.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/FleetView.java
@@ -6,84 +6,85 @@
 import java.util.Set;
 
 /**
- * The other routers as one router sees them: which are registered, and in which group, and which of them are heard. A
- * group whose routers are all unheard is taken as gone, and its targets are everyone's.
+ * One router's view of the other routers: which are registered, in which group, and which are live, meaning that their
+ * messages arrive. If no router of a group is live, the group counts as gone and all routers share its targets.
  */
 final class FleetView {
 
     private final String self;
     private final RouterGroups groups;
-    private final Set<String> heard = new HashSet<>();
-    private final RouterOrder everyone;
-    private RouterOrder group;
-    private Set<Integer> heardGroups = Set.of();
-    private List<String> otherGroups = List.of();
+    private final Set<String> live = new HashSet<>();
+    private final RendezvousOrder liveRouters;
+    private RendezvousOrder ownGroup;
+    private Set<Integer> liveGroups = Set.of();
+    private List<String> routersOfOtherGroups = List.of();
     private long version;
 
     FleetView(String self, String dataCentre, PlacementSettings settings) {
         this.self = self;
-        this.groups = new RouterGroups(settings.uses(Mechanism.GROUPS) ? RouterGroups.MOST_IN_ONE : Integer.MAX_VALUE);
-        this.everyone = new RouterOrder(self);
-        this.group = new RouterOrder(self);
-        groups.joined(self, dataCentre);
+        this.groups =
+                new RouterGroups(settings.uses(Mechanism.GROUPS) ? RouterGroups.MAX_UNDIVIDED : Integer.MAX_VALUE);
+        this.liveRouters = new RendezvousOrder(self);
+        this.ownGroup = new RendezvousOrder(self);
+        groups.add(self, dataCentre);
     }
 
-    /** Takes in a router that is registered in a data centre. */
+    /** Adds a router that is registered in a data centre. */
     void registered(String router, String dataCentre) {
-        if (groups.joined(router, dataCentre)) {
-            changed();
+        if (groups.add(router, dataCentre)) {
+            update();
         }
     }
 
-    /** Notes that a router is no longer registered. */
+    /** Records that a router is no longer registered. */
     void unregistered(String router) {
-        if (groups.left(router)) {
-            changed();
+        if (groups.remove(router)) {
+            update();
         }
     }
 
-    /** Notes that a router is heard. */
-    void heard(String router) {
-        if (heard.add(router)) {
-            everyone.joined(router);
-            changed();
+    /** Marks a router as live. */
+    void markLive(String router) {
+        if (live.add(router)) {
+            liveRouters.add(router);
+            update();
         }
     }
 
-    /** Notes that a router has fallen silent. */
-    void silent(String router) {
-        if (heard.remove(router)) {
-            everyone.left(router);
-            changed();
+    /** Marks a router as silent. */
+    void markSilent(String router) {
+        if (live.remove(router)) {
+            liveRouters.remove(router);
+            update();
         }
     }
 
-    /** Forgets a target that will not be asked for again. */
+    /** Drops cached state of a target that will not be looked up again. */
     void forget(String incarnation) {
-        group.forget(incarnation);
-        everyone.forget(incarnation);
+        ownGroup.forget(incarnation);
+        liveRouters.forget(incarnation);
     }
 
-    private void changed() {
+    private void update() {
         version++;
-        RouterOrder now = new RouterOrder(self);
-        Set<Integer> groupsHeard = new HashSet<>();
-        for (String router : heard) {
-            groupsHeard.add(groups.of(router));
-            if (isNear(router)) {
-                now.joined(router);
+        RendezvousOrder updated = new RendezvousOrder(self);
+        Set<Integer> groupsNow = new HashSet<>();
+        for (String router : live) {
+            groupsNow.add(groups.groupOf(router));
+            if (isInOwnGroup(router)) {
+                updated.add(router);
             }
         }
-        group = now;
-        heardGroups = groupsHeard;
-        long own = RouterOrder.hash(self);
-        otherGroups = heard.stream()
-                .filter(router -> !isNear(router) && groups.knowsDataCentre(router))
-                .sorted(Comparator.comparing(router -> RouterOrder.weight(RouterOrder.hash(router), own)))
+        ownGroup = updated;
+        liveGroups = groupsNow;
+        long own = RendezvousOrder.hash(self);
+        routersOfOtherGroups = live.stream()
+                .filter(router -> !isInOwnGroup(router) && groups.isDataCentreKnown(router))
+                .sorted(Comparator.comparing(router -> RendezvousOrder.weight(RendezvousOrder.hash(router), own)))
                 .toList();
     }
 
-    /** Changes with everything that decides which targets are whose. */
+    /** Version that changes with everything that affects the assignment of targets. */
     long version() {
         return version;
     }
@@ -92,46 +93,46 @@
         return groups;
     }
 
-    /** True for a router of this one's group. */
-    boolean isNear(String router) {
-        return groups.count() <= 1 || groups.of(router) == groups.of(self);
+    /** Whether a router belongs to this router's group. */
+    boolean isInOwnGroup(String router) {
+        return groups.count() <= 1 || groups.groupOf(router) == groups.groupOf(self);
     }
 
-    /** Whose the slots of targets are that were dealt out to a group. */
-    TargetState.Owners ownersOf(int ofGroup) {
-        if (ofGroup == groups.of(self)) {
-            return TargetState.Owners.OUR_GROUP;
+    /** Who may use the slots of targets that are assigned to a group. */
+    TargetState.Owners ownershipOf(int ofGroup) {
+        if (ofGroup == groups.groupOf(self)) {
+            return TargetState.Owners.OWN_GROUP;
         }
-        return heardGroups.contains(ofGroup) ? TargetState.Owners.ANOTHER_GROUP : TargetState.Owners.ALL;
+        return liveGroups.contains(ofGroup) ? TargetState.Owners.OTHER_GROUP : TargetState.Owners.SHARED;
     }
 
-    /** The routers that are heard among those that share a target. */
-    RouterOrder sharing(TargetState target) {
-        return target.owners() == TargetState.Owners.OUR_GROUP ? group : everyone;
+    /** The live routers among those that share a target. */
+    RendezvousOrder routersSharing(TargetState target) {
+        return target.ownership() == TargetState.Owners.OWN_GROUP ? ownGroup : liveRouters;
     }
 
-    /** The routers that are heard among those that share a service's targets with this one. */
-    RouterOrder sharing(ServiceTargets service) {
-        return service.shared() ? everyone : group;
+    /** The live routers among those that share the targets of a service with this one. */
+    RendezvousOrder routersSharing(ServiceTargets service) {
+        return service.shared() ? liveRouters : ownGroup;
     }
 
     /**
-     * The routers of other groups that are heard, in an order of this router's own; those of an older version, which
-     * tell no data centre and know no groups, are left out.
+     * The live routers of other groups, in an order specific to this router. Routers of an older version, which report
+     * no data centre and know no groups, are left out.
      */
-    List<String> otherGroups() {
-        return otherGroups;
+    List<String> routersOfOtherGroups() {
+        return routersOfOtherGroups;
     }
 
-    /** Routers that are heard of this one's group: those that are told of what it does at once. */
-    int near() {
-        return group.others();
+    /** Number of live routers in this router's group; these are notified of its changes at once. */
+    int groupPeerCount() {
+        return ownGroup.others();
     }
 
-    /** Time until the routers that share a service's targets hear of what this one does now. */
-    long heardAfterMs(ServiceTargets service, boolean callsWait) {
+    /** Time until the routers that share the targets of a service learn what this one does now. */
+    long propagationDelayMs(ServiceTargets service, boolean callsWait) {
         return service.shared() && groups.count() > 1
                 ? PeerCadence.SIGN_OF_LIFE_MS
-                : PeerCadence.intervalMs(near(), callsWait);
+                : PeerCadence.intervalMs(groupPeerCount(), callsWait);
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Mechanism.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Mechanism.java
@@ -2,28 +2,35 @@
 
 import java.util.Locale;
 
-/** A part of the placement that can be switched off, so that an experiment shows what it buys. */
+/** A part of the placement that can be switched off, so that an experiment can measure its effect. */
 public enum Mechanism {
-    /** Calls that can no longer be on time yield to those of their rank that can. */
+    /** Calls that can no longer be on time yield to calls of the same rank that can. */
     LATE_YIELD,
-    /** The target with the earliest expected end is chosen, by its learned pace; else the one with the fewest calls. */
+    /**
+     * Chooses the target with the earliest expected end, from its learned speed. Otherwise the target with the fewest
+     * calls is chosen.
+     */
     LEARNED_PACE,
-    /** A call is refused at once when it would wait too long; else when it has. */
+    /**
+     * Refuses a call at once if its expected wait is too long. Otherwise it is refused when it has waited that long.
+     */
     EARLY_REFUSAL,
-    /** A slot that falls free is reserved for a router with a more urgent call waiting. */
+    /** Reserves a freed slot for a router that has a more urgent call queued. */
     HAND_OVER,
-    /** A rank of which little is sent goes before more urgent ones. */
+    /** Promotes calls of a rank that receives too small a share of the slots. */
     LEAST_SHARE,
-    /** Routers take free slots that all of them see in turn; else each takes what it sees. */
+    /**
+     * Routers take turns at free slots that all of them see. Otherwise each router takes any free slot that it sees.
+     */
     TURNS,
-    /** Large fleets are divided into groups of routers. */
+    /** Divides large fleets into groups of routers. */
     GROUPS,
-    /** Slots of another group are asked for. */
+    /** Requests slots from other groups. */
     BORROWING,
-    /** A call avoids targets where it could not be whole in time or would hold up others. */
+    /** Avoids targets where the call could not complete in time or would stall the streams of other calls. */
     SUITABLE_TARGETS;
 
-    /** Its name in reports. */
+    /** Returns the name used in reports. */
     public String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/NamedLimit.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/NamedLimit.java
@@ -1,26 +1,26 @@
 package org.onyxhinge.core.place;
 
-/** What an answer says of how many requests its target takes, from all routers together. */
+/** What a response says about the number of requests its target accepts from all routers together. */
 public sealed interface NamedLimit {
 
-    /** It says nothing: the target takes what its slots hold. */
+    /** No limit is given: the target accepts as many requests as it has slots. */
     record None() implements NamedLimit {}
 
     /**
-     * It names a rate limit.
+     * A rate limit.
      *
-     * @param perSecond requests a second, 0 or more
+     * @param perSecond requests per second, 0 or more
      */
     record PerSecond(double perSecond) implements NamedLimit {}
 
     /**
-     * It says something that is no limit; what is known of the target stays.
+     * A value that is not a valid limit; the known state of the target is kept.
      *
-     * @param text what it says
+     * @param text the value received
      */
     record Unreadable(String text) implements NamedLimit {}
 
-    /** Reads a limit; null for none. */
+    /** Parses a limit; null means that none is given. */
     static NamedLimit parse(String text) {
         if (text == null) {
             return new None();
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/NewsForPeers.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/NewsForPeers.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 
-/** What a router has to tell the others at one moment; routers of one group are told the same. */
+/** State that a router reports to its peers at one point in time; all routers of a group receive the same. */
 public final class NewsForPeers {
 
     private final FleetView fleet;
     private final TargetTable targets;
     private final Map<String, ServiceDemand> demands;
-    private final List<TargetState> used = new ArrayList<>();
+    private final List<TargetState> inUse = new ArrayList<>();
     private final Map<Integer, PeerNews> byGroup = new HashMap<>();
     private final long nowMs;
 
@@ -25,24 +25,24 @@
         this.nowMs = nowMs;
         for (TargetState t : targets.all()) {
             if (t.claimedCalls(nowMs) > 0) {
-                used.add(t);
+                inUse.add(t);
             }
         }
     }
 
-    /** What one other router is to be told. */
+    /** Returns the update for one peer. */
     public PeerNews forRouter(String router) {
-        boolean near = fleet.isNear(router);
-        return byGroup.computeIfAbsent(fleet.groups().of(router), group -> newsFor(group, near));
+        boolean near = fleet.isInOwnGroup(router);
+        return byGroup.computeIfAbsent(fleet.groups().groupOf(router), group -> updateFor(group, near));
     }
 
-    private PeerNews newsFor(int group, boolean near) {
+    private PeerNews updateFor(int group, boolean near) {
         Map<String, TargetUse> uses = new HashMap<>();
         Set<String> borrowed = new HashSet<>();
-        for (TargetState t : used) {
-            if (t.concerns(group)) {
+        for (TargetState t : inUse) {
+            if (t.isVisibleTo(group)) {
                 uses.put(t.incarnation(), new TargetUse(t.claimedCalls(nowMs), t.ownPrefillTokens()));
-                if (t.owners() == TargetState.Owners.ANOTHER_GROUP) {
+                if (t.ownership() == TargetState.Owners.OTHER_GROUP) {
                     borrowed.add(t.incarnation());
                 }
             }
@@ -52,7 +52,7 @@
 
     private Map<String, Map<Integer, Integer>> waiting(boolean near) {
         Map<String, Map<Integer, Integer>> out = new HashMap<>();
-        sharedWith(near, (service, demand) -> {
+        forEachSharedService(near, (service, demand) -> {
             if (!demand.waiting().isEmpty()) {
                 out.put(service.name(), demand.waiting().countByPrecedence(c -> service.canBeOnTime(c, nowMs)));
             }
@@ -62,12 +62,12 @@
 
     private Map<String, ServiceRates> rates(boolean near) {
         Map<String, ServiceRates> out = new HashMap<>();
-        sharedWith(near, (service, demand) -> out.put(service.name(), demand.rates(nowMs)));
+        forEachSharedService(near, (service, demand) -> out.put(service.name(), demand.rates(nowMs)));
         return out;
     }
 
-    /** The services whose targets this router shares with near routers, or with all. */
-    private void sharedWith(boolean near, BiConsumer<ServiceTargets, ServiceDemand> each) {
+    /** Visits the services whose targets are shared with routers of the own group, or else with all routers. */
+    private void forEachSharedService(boolean near, BiConsumer<ServiceTargets, ServiceDemand> each) {
         demands.forEach((name, demand) -> {
             ServiceTargets service = targets.of(name);
             if (service != null && (near || service.shared())) {
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/PeerCadence.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/PeerCadence.java
@@ -1,36 +1,36 @@
 package org.onyxhinge.core.place;
 
-/** How often a router tells each other one what it has running and what waits. */
+/** Determines how often a router reports its running and queued calls to each peer. */
 public final class PeerCadence {
 
-    /** Longest time between two messages to one router. */
+    /** Longest interval between two messages to the same router. */
     public static final long SIGN_OF_LIFE_MS = 400;
 
-    /** While places are free routers seldom take the same one, and little need be said. */
-    private static final long SEND_MS = 60;
+    /** While slots are free, routers rarely compete for one, so few updates are needed. */
+    private static final long MIN_INTERVAL_MS = 60;
 
-    /** While calls wait each slot that falls free is wanted by several routers. */
-    private static final long SEND_BUSY_MS = 20;
+    /** While calls are queued, several routers compete for each freed slot. */
+    private static final long MIN_INTERVAL_QUEUED_MS = 20;
 
     /**
-     * Bounds what a router sends to about 80 messages a second, and to 250 while calls wait: what six routers send
-     * each other at the intervals above. Each message costs both ends a system call and a wake-up. Beyond 33 links, and
-     * 100 while calls wait, signs of life alone are more.
+     * Limits a router to about 80 messages per second, and to 250 while calls are queued. That is what six routers send
+     * each other at the intervals above. Each message costs a system call and a wake-up at both ends. Beyond 33 links,
+     * or 100 while calls are queued, heartbeats alone exceed this rate.
      */
     private static final long MS_PER_LINK = 12;
 
-    private static final long BUSY_MS_PER_LINK = 4;
+    private static final long QUEUED_MS_PER_LINK = 4;
 
     private PeerCadence() {}
 
     /**
-     * Whether another router is to be told something now. One of the same group is told at once what has changed. One
-     * of another group is told at once only of slots of its own that are in use here; all else can wait for the next
-     * sign of life.
+     * Whether an update is due now. A router of the same group is sent every change at once. A router of another group
+     * is sent a change at once only if it concerns slots of that group that are in use here; everything else can wait
+     * for the next heartbeat.
      *
-     * @param now what it is to be told
-     * @param before what it was told last
-     * @param agoMs how long ago that was
+     * @param now the update that would be sent
+     * @param before the last update sent
+     * @param agoMs time since the last update
      */
     public static boolean isDue(PeerNews now, PeerNews before, double agoMs) {
         if (agoMs >= SIGN_OF_LIFE_MS) {
@@ -43,12 +43,13 @@
     }
 
     /**
-     * Time between two messages to each other router. A larger fleet speaks less often: each router's own calls, and so
-     * what it has to tell, are fewer there. But nobody may fall silent.
+     * Interval between two messages to the same router. In a larger fleet messages are less frequent, because each
+     * router has fewer calls of its own to report, but the heartbeat interval is never exceeded.
      */
     public static long intervalMs(int links, boolean callsWait) {
-        long wantedMs =
-                callsWait ? Math.max(SEND_BUSY_MS, links * BUSY_MS_PER_LINK) : Math.max(SEND_MS, links * MS_PER_LINK);
+        long wantedMs = callsWait
+                ? Math.max(MIN_INTERVAL_QUEUED_MS, links * QUEUED_MS_PER_LINK)
+                : Math.max(MIN_INTERVAL_MS, links * MS_PER_LINK);
         return Math.min(wantedMs, SIGN_OF_LIFE_MS);
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/PeerDemand.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/PeerDemand.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** Calls that wait at one peer for targets of one service, as it last said, less the slots reserved for it since. */
+/** Calls queued at one peer for targets of one service, as last reported, and the slots reserved for it since. */
 final class PeerDemand {
 
     private final Map<Integer, Integer> waitingByPrecedence;
@@ -17,12 +17,12 @@
         return new PeerDemand(Map.copyOf(waitingByPrecedence), new Reservations());
     }
 
-    /** What the peer says now, in place of before; slots that were just reserved for it still count. */
-    PeerDemand now(Map<Integer, Integer> newer) {
+    /** Replaces the reported calls. Slots reserved recently for the peer still count. */
+    PeerDemand updated(Map<Integer, Integer> newer) {
         return new PeerDemand(Map.copyOf(newer), reserved);
     }
 
-    /** Calls of a precedence or before it. */
+    /** Number of calls at or before a precedence. */
     int waitingUpTo(int precedence) {
         int n = 0;
         for (Map.Entry<Integer, Integer> e : waitingByPrecedence.entrySet()) {
@@ -31,21 +31,21 @@
         return n;
     }
 
-    /** Calls that go before {@code precedence} and that no slot has been reserved for. */
-    int unservedBefore(int precedence, long nowMs) {
+    /** Number of calls before {@code precedence} for which no slot has been reserved. */
+    int unreservedBefore(int precedence, long nowMs) {
         return waitingUpTo(precedence - 1) - reserved.count(nowMs);
     }
 
-    /** The first precedence that waits there. */
-    int first() {
-        int first = Integer.MAX_VALUE;
+    /** The most urgent precedence queued at the peer. */
+    int mostUrgent() {
+        int mostUrgent = Integer.MAX_VALUE;
         for (int precedence : waitingByPrecedence.keySet()) {
-            first = Math.min(first, precedence);
+            mostUrgent = Math.min(mostUrgent, precedence);
         }
-        return first;
+        return mostUrgent;
     }
 
-    /** Notes a slot reserved for the peer; it counts until the peer will have said that it uses it. */
+    /** Records a slot reserved for the peer; it counts until the peer should have reported that it uses the slot. */
     void reserved(long untilMs) {
         reserved.add(untilMs);
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/PeerNews.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/PeerNews.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 
 /**
- * What another router is to be told of this one's calls.
+ * State of this router's calls that is reported to one peer, and whether the peer belongs to this router's group and is
+ * notified at once.
  *
- * @param near whether it is of this router's group, and is told at once
- * @param uses this router's calls on targets that concern it, by the target's incarnation
- * @param waiting how many calls wait here for targets that it shares, by service and {@link Precedence}
- * @param rates what this router sees of those services' calls
- * @param borrowed targets among {@code uses} whose slots are its group's and not this router's
+ * @param uses this router's calls on targets that concern the peer, by target incarnation
+ * @param waiting number of calls queued here for targets shared with the peer, by service and {@link Precedence}
+ * @param rates call rates of those services as seen by this router
+ * @param borrowed targets in {@code uses} that belong to the peer's group and not to this router's
  */
 public record PeerNews(
         boolean near,
@@ -20,14 +20,14 @@
         Map<String, ServiceRates> rates,
         Set<String> borrowed) {
 
-    /** This router's calls on targets whose slots are the other router's group's. */
+    /** This router's calls on targets that belong to the peer's group. */
     Map<String, TargetUse> borrowedUses() {
         Map<String, TargetUse> out = new HashMap<>(uses);
         out.keySet().retainAll(borrowed);
         return out;
     }
 
-    /** Nothing said yet. */
+    /** Returns an empty update, for a peer that has not been sent any. */
     public static PeerNews none() {
         return new PeerNews(true, Map.of(), Map.of(), Map.of(), Set.of());
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Placement.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Placement.java
@@ -10,19 +10,19 @@
 import java.util.function.BiConsumer;
 
 /**
- * Decides for one router where calls go, which wait and which are refused. Targets run a bounded number
- * of requests at once and know no ranks, so nothing is sent beyond that bound and the router keeps the
- * queue, by rank. A call is refused at once when the queue says it would wait too long.
+ * Decides for one router which target a call is sent to, which calls are queued and which are refused. Targets run a
+ * bounded number of requests at once and do not know ranks, so the router never exceeds that bound and keeps a queue
+ * ordered by rank. A call is refused at once if the queue indicates that it would wait too long.
  *
- * <p>Not thread-safe: one thread owns it. Times are milliseconds of one monotonic clock.
+ * <p>Not thread-safe: owned by one thread. Times are milliseconds of one monotonic clock.
  */
 public final class Placement {
 
     /**
-     * A call is given so long to find a slot in its own group before others are asked for one: bytes between data
-     * centres are billed.
+     * How long a call waits for a slot of its own group before slots of other groups are requested: traffic between
+     * data centres is billed.
      */
-    private static final long BORROW_AFTER_MS = 100;
+    private static final long BORROW_DELAY_MS = 100;
 
     private final PlacementSettings settings;
     private final FleetView fleet;
@@ -42,7 +42,7 @@
         this.admission = new Admission(fleet, settings.uses(Mechanism.EARLY_REFUSAL));
     }
 
-    /** Creates a placement without targets and without peers, for a router in {@code dataCentre}. */
+    /** Creates a placement without targets and peers, for a router in {@code dataCentre}. */
     public static Placement create(String dataCentre) {
         return create("", dataCentre, PlacementSettings.defaults(), (peer, target) -> {});
     }
@@ -51,7 +51,8 @@
      * Creates a placement without targets.
      *
      * @param router the router's id, as its peers know it
-     * @param slotReserved told when a slot is reserved for a peer: the peer's id and the target's incarnation
+     * @param slotReserved called when a slot is reserved for a peer, with the peer's id and the target's
+     *     incarnation
      */
     public static Placement create(
             String router, String dataCentre, PlacementSettings settings, BiConsumer<String, String> slotReserved) {
@@ -59,17 +60,17 @@
     }
 
     /**
-     * Takes a registry entry in: a new target, another start of one, one that is back, or a change of a known one.
+     * Applies a registry entry: a new target, a new incarnation, a re-registered target or a change to a known one.
      *
-     * @return the start of the target that is over, if the entry is of another one
+     * @return the previous incarnation of the target, if the entry replaces it
      */
     public Optional<TargetState> targetSeen(Target info) {
-        return targets.seen(info);
+        return targets.register(info);
     }
 
     /**
-     * Takes out a target that is no longer registered; calls that run there go on. What is known of it is kept for
-     * when it is back: a registration can lapse, or be overwritten by mistake, while its target runs.
+     * Removes a target that is no longer registered; its running calls continue. Its state is kept in case it is
+     * registered again: a registration can lapse, or be overwritten by mistake, while the target runs.
      *
      * @return the target, if it was known
      */
@@ -79,68 +80,74 @@
         return gone;
     }
 
-    /** Every target, for dumps. */
+    /** All registered targets, for diagnostic dumps. */
     public Collection<TargetState> targets() {
         return targets.all();
     }
 
-    /** A registered target by its incarnation. */
+    /** Returns a registered target by its incarnation. */
     public Optional<TargetState> target(String incarnation) {
         return targets.byIncarnation(incarnation);
     }
 
-    /** Takes in another router that is registered in a data centre. */
+    /** Adds another router that is registered in a data centre. */
     public void routerSeen(String router, String dataCentre) {
         fleet.registered(router, dataCentre);
     }
 
-    /** Notes that another router is no longer registered. */
+    /** Records that another router is no longer registered. */
     public void routerGone(String router) {
         fleet.unregistered(router);
     }
 
-    /** Forgets a peer that is heard no longer, with what it had running and waiting. */
+    /** Removes a peer that is no longer heard from, together with its running and queued calls. */
     public void peerGone(String peer) {
         peerUses(peer, Map.of());
         peerWaiting(peer, Map.of());
         peerRates(peer, Map.of());
-        fleet.silent(peer);
+        fleet.markSilent(peer);
     }
 
-    /** Takes in what a peer has running, in place of what it said before. */
+    /** Replaces the running calls reported by a peer. */
     public void peerUses(String peer, Map<String, TargetUse> uses) {
-        fleet.heard(peer);
+        fleet.markLive(peer);
         targets.peerUses(peer, uses);
     }
 
-    /** Takes in how many calls wait at a peer, by service and {@link Precedence}, in place of what it last said. */
+    /** Replaces the number of calls queued at a peer, by service and {@link Precedence}. */
     public void peerWaiting(String peer, Map<String, Map<Integer, Integer>> waitingByService) {
         waitingByService.keySet().forEach(this::demand);
         demands.forEach((service, demand) -> demand.peerWaiting(peer, waitingByService.get(service)));
     }
 
-    /** Takes in what a peer sees of each service's calls in a second, in place of what it said before. */
+    /** Replaces the call rates per service reported by a peer. */
     public void peerRates(String peer, Map<String, ServiceRates> ratesByService) {
         ratesByService.keySet().forEach(this::demand);
         demands.forEach((service, demand) -> demand.peerRates(peer, ratesByService.get(service)));
     }
 
-    /** Notes that a peer has reserved a slot at a target for this router's calls. */
+    /** Records that a peer has reserved a slot on a target for this router. */
     public void slotReserved(String incarnation, long nowMs) {
         target(incarnation).ifPresent(t -> {
-            t.service().reservedForUs(t, SlotSharing.reservedUntilMs(nowMs));
-            if (t.owners() == TargetState.Owners.ANOTHER_GROUP) {
-                borrowing.given();
+            t.service().reservedForSelf(t, SlotSharing.reservedUntilMs(nowMs));
+            if (t.ownership() == TargetState.Owners.OTHER_GROUP) {
+                borrowing.granted();
             }
         });
     }
 
-    /** A router of another group has calls that wait: slots are reserved for those that go before this group's. */
+    /**
+     * Handles a slot request from a router of another group: slots are reserved for those of its calls that precede the
+     * calls of this group.
+     */
     public void slotsWanted(String router, String service, Map<Integer, Integer> waitingByPrecedence, long nowMs) {
-        demand(service).asked(router, waitingByPrecedence, nowMs);
+        demand(service).slotsRequested(router, waitingByPrecedence, nowMs);
     }
 
-    /** What to ask a router of another group now, because calls wait that this router's group has no slot for. */
+    /**
+     * Returns the slot request to send to a router of another group, if calls are queued for which this group has no
+     * slot.
+     */
     public Optional<SlotRequest> slotsToBorrow(long nowMs) {
         if (!settings.uses(Mechanism.BORROWING)) {
             return Optional.empty();
@@ -149,31 +156,31 @@
             ServiceTargets service = targets.of(e.getKey());
             if (service != null && !service.shared()) {
                 Map<Integer, Integer> waiting =
-                        e.getValue().waiting().countSince(nowMs - BORROW_AFTER_MS, c -> service.canBeOnTime(c, nowMs));
+                        e.getValue().waiting().countSince(nowMs - BORROW_DELAY_MS, c -> service.canBeOnTime(c, nowMs));
                 if (!waiting.isEmpty()) {
-                    return borrowing.ask(nowMs).map(router -> new SlotRequest(router, e.getKey(), waiting));
+                    return borrowing.nextRouterToAsk(nowMs).map(router -> new SlotRequest(router, e.getKey(), waiting));
                 }
             }
         }
         return Optional.empty();
     }
 
-    /** True while calls wait here. */
+    /** Returns whether any call is queued at this router. */
     public boolean callsWait() {
         return demands.values().stream().anyMatch(d -> !d.waiting().isEmpty());
     }
 
-    /** Routers that are to be told at once what this one does. */
+    /** Number of routers that are notified at once of what this one does. */
     public int nearRouters() {
-        return fleet.near();
+        return fleet.groupPeerCount();
     }
 
-    /** What each other router is to be told now. */
+    /** Returns the current updates for all peers. */
     public NewsForPeers news(long nowMs) {
         return new NewsForPeers(fleet, targets, demands, nowMs);
     }
 
-    /** A call that arrives: it is sent, waits, or is refused at once. */
+    /** Handles an arriving call: it is sent, queued or refused. */
     public Verdict submit(Call call, long nowMs) {
         ServiceTargets service = targets.of(call.service());
         if (service == null || !service.anyTakesCalls()) {
@@ -190,7 +197,7 @@
             }
         }
         WaitEstimate estimate = admission.expectedWait(call, rank, service, demand, nowMs);
-        if (admission.waitsTooLong(call, estimate, nowMs)) {
+        if (admission.exceedsMaxWait(call, estimate, nowMs)) {
             demand.refused(call, nowMs);
             return Admission.refuse(call, Verdict.Reason.BUSY, estimate);
         }
@@ -198,7 +205,7 @@
         return new Verdict.Wait(call);
     }
 
-    /** Whether {@link #submit} would send a call at once. */
+    /** Returns whether {@link #submit} would send a call at once. */
     public boolean takesNow(Call call, long nowMs) {
         ServiceTargets service = targets.of(call.service());
         if (service == null) {
@@ -210,7 +217,7 @@
                 && slots.hasSlotFor(service, demand, call, precedence, nowMs);
     }
 
-    /** Sends what there is room for now and refuses what has waited too long. */
+    /** Sends queued calls for which there are slots, and refuses those whose queue deadline has passed. */
     public List<Verdict> pump(long nowMs) {
         List<Verdict> out = new ArrayList<>();
         demands.forEach((name, demand) -> {
@@ -222,13 +229,13 @@
         demands.forEach((name, demand) -> {
             ServiceTargets service = targets.of(name);
             if (service != null && demand.waiting().isEmpty()) {
-                slots.reserveWhatIsFree(service, demand, nowMs);
+                slots.reserveFreeSlots(service, demand, nowMs);
             }
         });
         return out;
     }
 
-    /** True when there is something for {@link #pump} to do at once. */
+    /** Returns whether {@link #pump} has work to do now. */
     public boolean wantsPump(long nowMs) {
         return slots.anyFreed()
                 || demands.entrySet().stream().anyMatch(e -> wantsPump(e.getKey(), e.getValue(), nowMs));
@@ -238,42 +245,42 @@
         ServiceTargets service = targets.of(name);
         return service != null
                 && (!demand.waiting().isEmpty()
-                        || demand.neediestBefore(Integer.MAX_VALUE, fleet.sharing(service), nowMs)
+                        || demand.mostUrgentPeerBefore(Integer.MAX_VALUE, fleet.routersSharing(service), nowMs)
                                 .isPresent());
     }
 
     private void pump(ServiceTargets service, ServiceDemand demand, long nowMs, List<Verdict> out) {
         WaitingCalls queue = demand.waiting();
-        for (Call call : queue.take(c -> nowMs >= c.holdUntilMs())) {
+        for (Call call : queue.removeMatching(c -> nowMs >= c.holdUntilMs())) {
             WaitEstimate estimate = admission.expectedWait(call, call.rank(), service, demand, nowMs);
             demand.refused(call, nowMs);
             out.add(Admission.refuse(call, Verdict.Reason.WAITED, estimate));
         }
-        if (queue.isEmpty() || !service.anyRoom(nowMs)) {
+        if (queue.isEmpty() || !service.anyAvailable(nowMs)) {
             return;
         }
-        for (WaitingCalls.Turn turn : queue.inOrder(c -> service.canBeOnTime(c, nowMs))) {
+        for (WaitingCalls.OrderedCall turn : queue.inOrder(c -> service.canBeOnTime(c, nowMs))) {
             Call call = turn.entry().call();
             Optional<TargetState> free = slots.slotFor(service, demand, call, turn.precedence(), nowMs);
             if (free.isPresent()) {
                 queue.remove(call);
                 out.add(send(call, free.get(), nowMs));
-            } else if (!service.isChoosy(call, nowMs)) {
+            } else if (!service.restrictsTargets(call, nowMs)) {
                 return;
             }
         }
     }
 
-    /** Takes a waiting call out: its caller has left. */
+    /** Removes a queued call because its caller has disconnected. */
     public void withdraw(Call call) {
         demand(call.service()).waiting().remove(call);
     }
 
     /**
-     * Notes the first byte of an answer.
+     * Records the first byte of a response.
      *
      * @param tookMs time since the call was sent
-     * @param tokensToRead prompt tokens to be read before it when it was sent, its own included
+     * @param tokensToRead prompt tokens queued at the target when the call was sent, including its own
      */
     public void firstByte(Call call, TargetState target, double tookMs, long tokensToRead) {
         target.learnFirstByte(tookMs, call.promptTokens() == 0 ? 0 : tokensToRead);
@@ -281,7 +288,7 @@
     }
 
     /**
-     * Notes that a call is over at a target.
+     * Records that a call has ended at a target.
      *
      * @param prefilled whether {@link #firstByte} was called for it
      */
@@ -294,67 +301,69 @@
         demand(call.service()).ended(call, nowMs);
     }
 
-    /** Notes that a target answered. */
+    /** Records a response of a target. */
     public void answered(TargetState target, boolean good, long nowMs) {
         target.health().answered(good, nowMs);
     }
 
-    /** Notes bytes of an answer in progress. */
+    /** Records that part of a response arrived from a target. */
     public void heard(TargetState target, long nowMs) {
         target.health().heard(nowMs);
     }
 
-    /** Notes that a call broke off at a target. */
+    /** Records that a call was cut off by a target. */
     public void broken(TargetState target) {
         target.health().broken();
     }
 
-    /** Notes that nothing has come from a target for too long: it gets no new calls for a while. */
+    /** Records that a target has sent nothing for too long: new calls to it are paused. */
     public void silent(TargetState target, long nowMs) {
         if (!target.health().paused(nowMs)) {
             target.health().unreachable(nowMs);
         }
     }
 
-    /** Notes that a target could not be reached. */
+    /** Records that a target could not be reached. */
     public void unreachable(TargetState target, long nowMs) {
         target.health().unreachable(nowMs);
     }
 
-    /** Notes that a target turned a call away as full: its own queue is longer than what is known here. */
+    /** Records that a target refused a call because it is full: its queue is longer than this router knows. */
     public void shed(TargetState target, long nowMs) {
         target.health().shed(nowMs);
     }
 
     /**
-     * Notes that a target has named a rate limit, in an answer or as another router tells.
+     * Records a rate limit advertised by a target, in a response or as reported by another router.
      *
-     * @param perSecond requests a second that it takes from all routers together
-     * @param atMs when
-     * @return whether that is news
+     * @param perSecond requests per second that the target accepts from all routers together
+     * @param atMs when it was advertised
+     * @return whether this changes the known limit
      */
     public boolean limitNamed(String incarnation, double perSecond, long atMs) {
         return targets.limitNamed(incarnation, perSecond, atMs);
     }
 
     /**
-     * Notes an answer in which a target named no rate limit.
+     * Records a response in which a target advertised no rate limit.
      *
-     * @param sentAtMs when the answered call was sent
-     * @return whether that ends a limit
+     * @param sentAtMs when the call was sent
+     * @return whether this removes a known limit
      */
     public boolean limitNotNamed(String incarnation, long sentAtMs) {
         return targets.limitNotNamed(incarnation, sentAtMs);
     }
 
-    /** Every rate limit that is known. */
-    public List<NamedRate> limits() {
-        List<NamedRate> out = new ArrayList<>();
-        targets.limits().forEach((incarnation, l) -> out.add(new NamedRate(incarnation, l.perSecond(), l.namedAtMs())));
+    /** Returns all known rate limits. */
+    public List<AdvertisedRate> limits() {
+        List<AdvertisedRate> out = new ArrayList<>();
+        targets.limits()
+                .forEach((incarnation, l) ->
+                        out.add(new AdvertisedRate(incarnation, l.perSecond(), l.advertisedAtMs())));
         return out;
     }
 
-    /** Calls waiting, by service, for dumps. */
+    /** Number of queued calls per service, for diagnostic dumps. */
     public Map<String, Integer> waitingByService() {
         Map<String, Integer> out = new TreeMap<>();
         demands.forEach((name, demand) -> out.put(name, demand.waiting().size()));
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/PlacementSettings.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/PlacementSettings.java
@@ -4,30 +4,30 @@
 import java.util.Set;
 
 /**
- * Which of its mechanisms a {@link Placement} uses. All are on but where an experiment shows what each buys.
+ * The mechanisms that a {@link Placement} uses. All are enabled, except in experiments that measure the effect of one.
  *
- * @param mechanisms those in use
+ * @param mechanisms the enabled mechanisms
  */
 public record PlacementSettings(Set<Mechanism> mechanisms) {
 
-    /** Copies the set. */
+    /** Makes a defensive copy. */
     public PlacementSettings {
         mechanisms = Set.copyOf(mechanisms);
     }
 
-    /** Everything on. */
+    /** Returns settings with every mechanism enabled. */
     public static PlacementSettings defaults() {
         return new PlacementSettings(EnumSet.allOf(Mechanism.class));
     }
 
-    /** The same without one mechanism. */
+    /** Returns a copy with one mechanism disabled. */
     public PlacementSettings without(Mechanism mechanism) {
         Set<Mechanism> rest = EnumSet.copyOf(mechanisms);
         rest.remove(mechanism);
         return new PlacementSettings(rest);
     }
 
-    /** Whether a mechanism is in use. */
+    /** Returns whether a mechanism is enabled. */
     public boolean uses(Mechanism mechanism) {
         return mechanisms.contains(mechanism);
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Precedence.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Precedence.java
@@ -1,14 +1,14 @@
 package org.onyxhinge.core.place;
 
 /**
- * The order in which calls that wait go, as one number, the lowest first: by rank, and within a rank those that can
- * still be on time before those that cannot. Routers compare their waiting calls by it.
+ * Order of queued calls as a single number, lowest first: by rank, and within a rank calls that can still be on time
+ * before those that cannot. Routers compare their queued calls by it.
  */
 public final class Precedence {
 
     private Precedence() {}
 
-    /** Precedence of a call that goes by a rank. */
+    /** Returns the precedence of a call that is queued with a rank. */
     public static int of(int rank, boolean canBeOnTime) {
         return 2 * rank + (canBeOnTime ? 0 : 1);
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/RankShares.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/RankShares.java
@@ -6,31 +6,35 @@
 import org.onyxhinge.core.limit.SlidingCount;
 
 /**
- * Keeps any rank from being shut out of a service. Strictly by rank, a rank gets what the more urgent ones leave: in an
- * overload that lasts, nothing at all. Each router sees to it for the calls that come to it, so nothing need be agreed.
+ * Prevents starvation of a rank within a service. With strict priority a rank gets only what the more urgent ranks
+ * leave, which in a sustained overload is nothing. Each router enforces a minimum share for its own calls, so no
+ * coordination is needed.
  */
 final class RankShares {
 
     /**
-     * Each rank has this part of what all calls have of their requests sent, whatever the more urgent ones ask for. A
-     * kind of request counts as shut out below a quarter; the rest is for what is sent and not answered, and for
+     * Fraction of the overall success rate that is guaranteed to each rank, whatever the demand of more urgent ranks. A
+     * kind of request counts as starved below a quarter; the margin covers requests that are sent but not answered, and
      * routers that are cut off.
      */
-    private static final double LEAST_PART = 0.5;
+    private static final double MIN_RELATIVE_SHARE = 0.5;
 
-    /** In a large fleet a router sees a few calls of a rank in a second; a share of a few dozen means something. */
+    /**
+     * In a large fleet a router sees only a few calls of a rank per second; a share is meaningful from a few dozen
+     * calls.
+     */
     private static final long WINDOW_MS = 10_000;
 
     private final Map<Integer, Counts> byRank = new TreeMap<>();
 
-    /** Of one rank: requests that were sent and that were refused, callers who came back left out. */
+    /** Requests of one rank that were sent and that were refused, not counting retries. */
     private record Counts(SlidingCount sent, SlidingCount refused) {
 
-        long sentIn(long nowMs) {
+        long sentWithinWindow(long nowMs) {
             return sent.total(nowMs);
         }
 
-        long decidedIn(long nowMs) {
+        long decidedWithinWindow(long nowMs) {
             return sent.total(nowMs) + refused.total(nowMs);
         }
     }
@@ -42,28 +46,30 @@
     }
 
     void sent(Call call, long nowMs) {
-        // A further target for the same request is no further answer.
+        // Sending the same request to a further target does not produce another response.
         if (call.avoid().isEmpty()) {
             counts(call.rank()).sent().add(nowMs);
         }
     }
 
-    /** The rank that a call goes by: its own, or the most urgent one while too little of its own is sent. */
-    int rankFor(Call call, long nowMs) {
-        return !call.returned() && isShort(call.rank(), nowMs)
+    /**
+     * The rank a call is queued with: its own, or the most urgent one while too small a share of its own rank is sent.
+     */
+    int effectiveRank(Call call, long nowMs) {
+        return !call.returned() && isUnderserved(call.rank(), nowMs)
                 ? byRank.keySet().iterator().next()
                 : call.rank();
     }
 
-    private boolean isShort(int rank, long nowMs) {
+    private boolean isUnderserved(int rank, long nowMs) {
         long decided = 0;
         long sent = 0;
         for (Counts c : byRank.values()) {
-            decided += c.decidedIn(nowMs);
-            sent += c.sentIn(nowMs);
+            decided += c.decidedWithinWindow(nowMs);
+            sent += c.sentWithinWindow(nowMs);
         }
         Counts own = counts(rank);
-        return own.sentIn(nowMs) * decided < LEAST_PART * sent * own.decidedIn(nowMs);
+        return own.sentWithinWindow(nowMs) * decided < MIN_RELATIVE_SHARE * sent * own.decidedWithinWindow(nowMs);
     }
 
     private Counts counts(int rank) {
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Rate.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Rate.java
@@ -1,9 +1,9 @@
 package org.onyxhinge.core.place;
 
-/** Events a second, smoothed exponentially over a few seconds. */
+/** Event rate per second, exponentially smoothed over a few seconds. */
 final class Rate {
 
-    /** Time constant: long against the gaps between events, short against a burst. */
+    /** Time constant: long compared with the gaps between events, short compared with a burst. */
     private static final double TIME_CONSTANT_MS = 2_000;
 
     private static final double MS_PER_SECOND = 1_000;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/RegistryReads.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/RegistryReads.java
@@ -1,37 +1,39 @@
 package org.onyxhinge.core.place;
 
 /**
- * When the registry was last read, and so whether a registration that is missing may have lapsed with the registry
- * instead of being given up. Time in which this VM was suspended does not count: the registry was there meanwhile.
+ * Tracks when the registry was last read, to decide whether a missing registration may have lapsed in an outage of the
+ * registry instead of having been given up. Time during which this VM was suspended does not count, because the
+ * registry was available meanwhile.
  */
 public final class RegistryReads {
 
     /**
-     * A registration lapses after three heartbeats of 1.2 s, of which one may just have come when the registry went.
+     * A registration lapses after three heartbeats of 1.2 s, and the last heartbeat may have arrived just before the
+     * registry failed.
      */
-    private static final long AWAY_MS = 2_400;
+    private static final long OUTAGE_THRESHOLD_MS = 2_400;
 
-    private long readAtMs = Long.MAX_VALUE;
+    private long lastReadAtMs = Long.MAX_VALUE;
 
     private RegistryReads() {}
 
-    /** Creates one that has seen no read. */
+    /** Creates an instance without any read. */
     public static RegistryReads create() {
         return new RegistryReads();
     }
 
-    /** Notes that an answer of the registry has been passed on whole. */
+    /** Records that a response of the registry has been processed completely. */
     public void passedOn(long nowMs) {
-        readAtMs = nowMs;
+        lastReadAtMs = nowMs;
     }
 
-    /** Whether nothing was read for so long before what is being passed on now that registrations may have lapsed. */
+    /** Whether the gap before the read now being processed was long enough for registrations to have lapsed. */
     public boolean wasAway(long nowMs) {
-        return readAtMs != Long.MAX_VALUE && agoMs(nowMs) > AWAY_MS;
+        return lastReadAtMs != Long.MAX_VALUE && agoMs(nowMs) > OUTAGE_THRESHOLD_MS;
     }
 
     /** Time since the last read. */
     public long agoMs(long nowMs) {
-        return nowMs - readAtMs;
+        return nowMs - lastReadAtMs;
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Reservations.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Reservations.java
@@ -3,16 +3,16 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Slots that are reserved for a while; each reservation ends by itself if it is not used. */
+/** Slot reservations, each of which expires unless it is used. */
 final class Reservations {
 
     private final Deque<Long> untilMs = new ArrayDeque<>();
 
-    void add(long endsAtMs) {
-        untilMs.add(endsAtMs);
+    void add(long expiresAtMs) {
+        untilMs.add(expiresAtMs);
     }
 
-    /** Reservations in force. */
+    /** Number of reservations that have not expired. */
     int count(long nowMs) {
         while (!untilMs.isEmpty() && untilMs.peek() <= nowMs) {
             untilMs.poll();
@@ -20,8 +20,8 @@
         return untilMs.size();
     }
 
-    /** Uses the one that ends first, if there is any. */
-    void takeOne() {
+    /** Removes the reservation that expires first, if there is one. */
+    void consumeOne() {
         untilMs.poll();
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/ServiceDemand.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/ServiceDemand.java
@@ -9,60 +9,60 @@
 import java.util.function.ToLongFunction;
 import java.util.stream.Stream;
 
-/** What is asked of one service: calls that wait here and at the peers, how many arrive, how fast slots fall free. */
+/** Demand for one service: calls queued here and at the peers, arrival rates, and the rate at which slots are freed. */
 final class ServiceDemand {
 
-    /** A router that asks for slots is served from those that fall free soon after; then it asks another. */
-    private static final long ASKED_FOR_MS = 100;
+    /** A slot request is served from slots freed soon after it; after that the requesting router asks another one. */
+    private static final long BORROW_REQUEST_TTL_MS = 100;
 
-    /** Weight of the newest call: they differ widely in length, so about the last fifty decide. */
-    private static final double HELD_WEIGHT = 0.02;
+    /** Weight of the newest call. Durations vary widely, so the average spans about 50 calls. */
+    private static final double HOLD_TIME_SMOOTHING = 0.02;
 
-    /** Where learning how long calls hold their slots starts. */
-    private static final double FIRST_HELD_MS = 1_000;
+    /** Initial average of the time a call holds its slot. */
+    private static final double INITIAL_HOLD_TIME_MS = 1_000;
 
-    /** Part of the slots' usual turnover that is counted on while not all of them are taken. */
-    private static final double CERTAIN_FREED_PART = 0.7;
+    /** Fraction of the full-load turnover that is assumed while not all slots are in use. */
+    private static final double ASSUMED_TURNOVER_FRACTION = 0.7;
 
     private final WaitingCalls waiting = new WaitingCalls();
     private final Rate freed = new Rate();
-    private final Map<Integer, Rate> arrivals = new TreeMap<>();
+    private final Map<Integer, Rate> arrivalRates = new TreeMap<>();
     private final Map<Call, Long> sentAtMs = new IdentityHashMap<>();
-    /** How long a call lately held its slot. */
-    private double heldMs = FIRST_HELD_MS;
+    /** Moving average of the time a call holds its slot. */
+    private double holdTimeMs = INITIAL_HOLD_TIME_MS;
 
     private final Map<String, PeerDemand> peers = new HashMap<>();
     private final Map<String, ServiceRates> peerRates = new HashMap<>();
-    /** Routers of other groups that have asked for slots lately. */
-    private final Map<String, Borrower> borrowers = new HashMap<>();
+    /** Recent slot requests from routers of other groups. */
+    private final Map<String, BorrowRequest> borrowRequests = new HashMap<>();
 
     private final RankShares shares = new RankShares();
-    private final boolean leastShare;
+    private final boolean minimumShare;
 
-    /** What a router of another group has asked for, and until when that holds. */
-    private record Borrower(PeerDemand demand, long untilMs) {}
+    /** A slot request from a router of another group, and when it expires. */
+    private record BorrowRequest(PeerDemand demand, long untilMs) {}
 
-    /** A peer in need of a slot, and what it needs. */
-    record Neediest(String peer, PeerDemand demand) {}
+    /** A peer that needs a slot, and its demand. */
+    record PeerNeed(String peer, PeerDemand demand) {}
 
     /**
-     * Demand for a service that nobody has asked for yet.
+     * Creates the demand of a service without calls.
      *
-     * @param leastShare whether a rank of which little is sent goes before more urgent ones
+     * @param minimumShare whether calls of a rank with too small a share of the slots are promoted
      */
-    ServiceDemand(boolean leastShare) {
-        this.leastShare = leastShare;
+    ServiceDemand(boolean minimumShare) {
+        this.minimumShare = minimumShare;
     }
 
-    /** Calls that wait here. */
+    /** Calls queued at this router. */
     WaitingCalls waiting() {
         return waiting;
     }
 
-    /** Notes a call that arrives, or wants a further target; tells the rank that it goes by. */
+    /** Records a call that arrives or needs a further target; returns the rank it is queued with. */
     int arrived(Call call, long nowMs) {
-        arrivals.computeIfAbsent(call.rank(), r -> new Rate()).event(nowMs);
-        return leastShare ? shares.rankFor(call, nowMs) : call.rank();
+        arrivalRates.computeIfAbsent(call.rank(), r -> new Rate()).event(nowMs);
+        return minimumShare ? shares.effectiveRank(call, nowMs) : call.rank();
     }
 
     void sent(Call call, long nowMs) {
@@ -74,23 +74,23 @@
         shares.refused(call, nowMs);
     }
 
-    /** Notes that one of this router's calls has ended. */
+    /** Records that a call of this router has ended. */
     void ended(Call call, long nowMs) {
         freed.event(nowMs);
-        Long beganAtMs = sentAtMs.remove(call);
-        if (beganAtMs != null) {
-            heldMs += HELD_WEIGHT * (nowMs - beganAtMs - heldMs);
+        Long startedAtMs = sentAtMs.remove(call);
+        if (startedAtMs != null) {
+            holdTimeMs += HOLD_TIME_SMOOTHING * (nowMs - startedAtMs - holdTimeMs);
         }
     }
 
-    /** What this router sees of it, for the others. */
+    /** Rates of the service as seen by this router, for the peers. */
     ServiceRates rates(long nowMs) {
         Map<Integer, Double> arrived = new HashMap<>();
-        arrivals.forEach((rank, rate) -> arrived.put(rank, rate.perSecond(nowMs)));
+        arrivalRates.forEach((rank, rate) -> arrived.put(rank, rate.perSecond(nowMs)));
         return new ServiceRates(freed.perSecond(nowMs), arrived);
     }
 
-    /** Takes in what a peer sees of it; null for nothing. */
+    /** Replaces the rates reported by a peer; null for none. */
     void peerRates(String peer, ServiceRates rates) {
         if (rates == null) {
             peerRates.remove(peer);
@@ -99,85 +99,85 @@
         }
     }
 
-    /** Takes in how many calls wait at a peer, by precedence, in place of what it said before; null for none. */
+    /** Replaces the number of calls queued at a peer, by precedence; null for none. */
     void peerWaiting(String peer, Map<Integer, Integer> byPrecedence) {
         if (byPrecedence == null) {
             peers.remove(peer);
         } else {
-            peers.merge(peer, PeerDemand.of(byPrecedence), (before, fresh) -> before.now(byPrecedence));
+            peers.merge(peer, PeerDemand.of(byPrecedence), (before, fresh) -> before.updated(byPrecedence));
         }
     }
 
-    /** Notes how many calls wait, by precedence, at a router of another group that asks for slots. */
-    void asked(String router, Map<Integer, Integer> byPrecedence, long nowMs) {
-        borrowers.put(router, new Borrower(PeerDemand.of(byPrecedence), nowMs + ASKED_FOR_MS));
+    /** Records a slot request from a router of another group, with its number of queued calls by precedence. */
+    void slotsRequested(String router, Map<Integer, Integer> byPrecedence, long nowMs) {
+        borrowRequests.put(router, new BorrowRequest(PeerDemand.of(byPrecedence), nowMs + BORROW_REQUEST_TTL_MS));
     }
 
-    /** True while any peer has calls that wait; it speaks more often then. */
-    boolean anyPeerWaits() {
+    /** Whether any peer has calls queued; its updates are more frequent then. */
+    boolean anyPeerHasWaitingCalls() {
         return peers.values().stream().anyMatch(d -> d.waitingUpTo(Integer.MAX_VALUE) > 0);
     }
 
     /**
-     * The peer with the first call before {@code precedence} that a slot is to be reserved for. Every router sees the
-     * same calls wait: of a peer's five, the five that come first in the order for it reserve it one each, or all
-     * would.
+     * Returns the peer with the most urgent call before {@code precedence} that still needs a reservation. Every router
+     * sees the same queued calls. If a peer has five, the first five routers in the order for that peer reserve one
+     * slot each; otherwise all routers would reserve slots for the same calls.
      */
-    Optional<Neediest> neediestBefore(int precedence, RouterOrder order, long nowMs) {
-        Neediest need = null;
+    Optional<PeerNeed> mostUrgentPeerBefore(int precedence, RendezvousOrder order, long nowMs) {
+        PeerNeed need = null;
         for (Map.Entry<String, PeerDemand> e : peers.entrySet()) {
-            need = neediest(need, e.getKey(), e.getValue(), precedence, order.before(e.getKey()), nowMs);
+            need = moreUrgent(need, e.getKey(), e.getValue(), precedence, order.position(e.getKey()), nowMs);
         }
-        borrowers.values().removeIf(b -> b.untilMs() <= nowMs);
-        for (Map.Entry<String, Borrower> e : borrowers.entrySet()) {
-            need = neediest(need, e.getKey(), e.getValue().demand(), precedence, 0, nowMs);
+        borrowRequests.values().removeIf(b -> b.untilMs() <= nowMs);
+        for (Map.Entry<String, BorrowRequest> e : borrowRequests.entrySet()) {
+            need = moreUrgent(need, e.getKey(), e.getValue().demand(), precedence, 0, nowMs);
         }
         return Optional.ofNullable(need);
     }
 
     /**
-     * The peer with the first call up to {@code precedence} that no slot is reserved for; of those alike, the one that
-     * was last served longest ago. It is for slots that no other router can reserve.
+     * Returns the peer with the most urgent call up to {@code precedence} that has no reservation; among equals, the
+     * one served least recently. Used for slots that no other router can reserve.
      *
      * @param servedAtMs when a peer was last served
      */
-    Optional<Neediest> neediestInTurn(int precedence, ToLongFunction<String> servedAtMs, long nowMs) {
-        borrowers.values().removeIf(b -> b.untilMs() <= nowMs);
+    Optional<PeerNeed> mostUrgentPeerByTurn(int precedence, ToLongFunction<String> servedAtMs, long nowMs) {
+        borrowRequests.values().removeIf(b -> b.untilMs() <= nowMs);
         return Stream.concat(
-                        peers.entrySet().stream().map(e -> new Neediest(e.getKey(), e.getValue())),
-                        borrowers.entrySet().stream()
-                                .map(e -> new Neediest(e.getKey(), e.getValue().demand())))
-                .filter(n -> n.demand().first() <= precedence)
-                .filter(n -> n.demand().unservedBefore(Integer.MAX_VALUE, nowMs) > 0)
-                .min(Comparator.<Neediest>comparingInt(n -> n.demand().first())
+                        peers.entrySet().stream().map(e -> new PeerNeed(e.getKey(), e.getValue())),
+                        borrowRequests.entrySet().stream()
+                                .map(e -> new PeerNeed(e.getKey(), e.getValue().demand())))
+                .filter(n -> n.demand().mostUrgent() <= precedence)
+                .filter(n -> n.demand().unreservedBefore(Integer.MAX_VALUE, nowMs) > 0)
+                .min(Comparator.<PeerNeed>comparingInt(n -> n.demand().mostUrgent())
                         .thenComparingLong(n -> servedAtMs.applyAsLong(n.peer())));
     }
 
     /**
-     * The needier of two routers.
+     * Returns whichever of two routers has the more urgent demand.
      *
-     * @param served calls of the second that others reserve slots for
+     * @param reservedByOthers calls of the second router that other routers reserve slots for
      */
-    private static Neediest neediest(
-            Neediest first, String router, PeerDemand demand, int precedence, int served, long nowMs) {
-        boolean second = demand.unservedBefore(precedence, nowMs) > served
-                && (first == null || demand.first() < first.demand().first());
-        return second ? new Neediest(router, demand) : first;
+    private static PeerNeed moreUrgent(
+            PeerNeed first, String router, PeerDemand demand, int precedence, int reservedByOthers, long nowMs) {
+        boolean second = demand.unreservedBefore(precedence, nowMs) > reservedByOthers
+                && (first == null || demand.mostUrgent() < first.demand().mostUrgent());
+        return second ? new PeerNeed(router, demand) : first;
     }
 
     /**
-     * How long a call would wait: those ahead of it here and at the peers over the rate at which slots fall free for
-     * all routers, less what arrivals of more urgent ranks will take meanwhile. A peer that has not said what it sees
-     * is taken to see the same as this router.
+     * Estimates how long a call would wait: the calls ahead of it here and at the peers, divided by the rate at which
+     * slots are freed for all routers, less the rate at which calls of more urgent ranks arrive. A peer that has not
+     * reported its rates is assumed to have the same rates as this router.
      *
-     * @param rank the rank it goes by
-     * @param routers routers that share the targets, this one included
+     * @param rank the rank the call is queued with
+     * @param routers number of routers that share the targets, including this one
      */
     WaitEstimate expectedWait(Call call, int rank, ServiceTargets targets, int routers, long nowMs) {
         ServiceRates own = rates(nowMs);
-        double alike = routers - peerRates.size();
-        double freedPerSecond = own.freed() * alike;
-        double urgentPerSecond = own.arrivedBefore(rank) * alike;
+        double unreportedRouters = routers - peerRates.size();
+        double freedPerSecond = own.freed() * unreportedRouters;
+        double urgentPerSecond = own.arrivedBefore(rank) * unreportedRouters;
         for (ServiceRates r : peerRates.values()) {
             freedPerSecond += r.freed();
             urgentPerSecond += r.arrivedBefore(rank);
@@ -189,8 +189,8 @@
         return WaitEstimate.of(ahead, Math.max(freedPerSecond, fullTurnoverPerSecond(targets)), urgentPerSecond);
     }
 
-    /** How often a slot falls free while all are taken. */
+    /** Rate at which slots are freed while all are in use. */
     private double fullTurnoverPerSecond(ServiceTargets targets) {
-        return CERTAIN_FREED_PART * targets.turnoverPerSecond(heldMs);
+        return ASSUMED_TURNOVER_FRACTION * targets.turnoverPerSecond(holdTimeMs);
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/ServiceRates.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/ServiceRates.java
@@ -3,20 +3,20 @@
 import java.util.Map;
 
 /**
- * What one router sees of a service's calls in a second, smoothed over a few. Routers of a group add theirs up: each by
- * itself sees a handful.
+ * Rates of a service's calls per second as seen by one router, smoothed over a few seconds. The routers of a group add
+ * them up, because each one alone sees only a few calls.
  *
- * @param freed slots that its calls freed
- * @param arrivedByRank calls that arrived, by rank
+ * @param freed slots freed by its calls
+ * @param arrivedByRank arriving calls, by rank
  */
 public record ServiceRates(double freed, Map<Integer, Double> arrivedByRank) {
 
-    /** Copies the map. */
+    /** Makes a defensive copy. */
     public ServiceRates {
         arrivedByRank = Map.copyOf(arrivedByRank);
     }
 
-    /** Calls that arrived of ranks more urgent than {@code rank}. */
+    /** Arrival rate of calls with ranks more urgent than {@code rank}. */
     double arrivedBefore(int rank) {
         double sum = 0;
         for (Map.Entry<Integer, Double> e : arrivedByRank.entrySet()) {
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/ServiceTargets.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/ServiceTargets.java
@@ -8,35 +8,37 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** The targets of one service, and what is lately true of all of them together. */
+/** The targets of one service, with averages over all of them. */
 final class ServiceTargets {
 
-    /** Prompts below this say more of a step's time than of the speed of reading. */
-    static final long TELLING_PROMPT_TOKENS = 500;
+    /**
+     * For shorter prompts the time to first byte reflects the duration of one engine step and not the prefill speed.
+     */
+    static final long MIN_PREFILL_SAMPLE_TOKENS = 500;
 
-    /** Where learning starts; a few answers replace each. */
-    private static final double FIRST_GAP_MS = 25;
+    /** Initial averages; a few responses replace them. */
+    private static final double INITIAL_GAP_MS = 25;
 
-    private static final double FIRST_PREFILL_MS_PER_TOKEN = 0.03;
-    private static final double FIRST_PLAIN_MS = 50;
+    private static final double INITIAL_PREFILL_MS_PER_TOKEN = 0.03;
+    private static final double INITIAL_PLAIN_MS = 50;
 
-    /** A target is set aside when it fails this much more often than its service does. */
+    /** A target is an outlier if it fails this much more often than its service does on average. */
     private static final double OUTLIER_RATE = 0.2;
 
     private static final double OUTLIER_FACTOR = 2.0;
-    /** At most this part of a service is set aside, so an ailing service is never left with nothing. */
-    private static final double SET_ASIDE_PART = 0.34;
+    /** At most this fraction of a service is penalized, so that a failing service always keeps some targets. */
+    private static final double MAX_PENALIZED_FRACTION = 0.34;
 
-    /** Makes a target that is set aside the last choice, not no choice. */
-    private static final double SET_ASIDE_COST_MS = 1e6;
+    /** Makes an outlier the last choice without excluding it. */
+    private static final double OUTLIER_PENALTY_MS = 1e6;
 
     /**
-     * What the path to another data centre costs against the time of an answer, as a part: bytes between
-     * data centres are billed, and a slightly slower answer from near by is worth the same.
+     * Cost of a target in another data centre, as a fraction of the response time: traffic between data centres is
+     * billed, and a slightly slower response from the local data centre is as good.
      */
-    private static final double FAR_COST = 1.0;
+    private static final double REMOTE_COST_FACTOR = 1.0;
 
-    private static final double FAR_COST_MS = 20;
+    private static final double REMOTE_COST_MS = 20;
 
     private static final double MS_PER_SECOND = 1_000;
 
@@ -44,19 +46,19 @@
     private final String dataCentre;
     private final PlacementSettings settings;
     private final List<TargetState> targets = new ArrayList<>();
-    /** Those of the targets whose slots are this router's to take, by its group. */
-    private List<TargetState> ours = List.of();
-    /** Others of which a slot is reserved for this router, or was until lately. */
-    private final Set<TargetState> lent = new LinkedHashSet<>();
+    /** Targets whose slots this router may take, by its group. */
+    private List<TargetState> ownTargets = List.of();
+    /** Targets of other groups with a slot that is, or recently was, reserved for this router. */
+    private final Set<TargetState> borrowedTargets = new LinkedHashSet<>();
 
     private boolean shared = true;
-    private boolean dealt;
-    private long dealtAtVersion;
-    private final Pace gapMs = Pace.startingAt(FIRST_GAP_MS);
-    private final Pace prefillMs = Pace.startingAt(FIRST_PREFILL_MS_PER_TOKEN);
-    private final Pace plainMs = Pace.startingAt(FIRST_PLAIN_MS);
+    private boolean assigned;
+    private long assignedAtVersion;
+    private final MovingAverage gapMs = MovingAverage.withInitialValue(INITIAL_GAP_MS);
+    private final MovingAverage prefillMs = MovingAverage.withInitialValue(INITIAL_PREFILL_MS_PER_TOKEN);
+    private final MovingAverage plainMs = MovingAverage.withInitialValue(INITIAL_PLAIN_MS);
 
-    /** Targets of a service, as a router in {@code dataCentre} sees them. */
+    /** Creates the targets of a service, as seen by a router in {@code dataCentre}. */
     ServiceTargets(String name, String dataCentre, PlacementSettings settings) {
         this.name = name;
         this.dataCentre = dataCentre;
@@ -69,102 +71,105 @@
 
     void add(TargetState target) {
         targets.add(target);
-        dealt = false;
+        assigned = false;
     }
 
     void remove(TargetState target) {
         targets.remove(target);
-        lent.remove(target);
-        dealt = false;
+        borrowedTargets.remove(target);
+        assigned = false;
     }
 
-    /** Deals the targets out to the groups of routers, if anything has changed since that was last done. */
-    void dealOut(FleetView fleet) {
-        if (dealt && dealtAtVersion == fleet.version()) {
+    /** Assigns the targets to groups of routers, if anything has changed since the last assignment. */
+    void assignToGroups(FleetView fleet) {
+        if (assigned && assignedAtVersion == fleet.version()) {
             return;
         }
-        dealt = true;
-        dealtAtVersion = fleet.version();
-        shared = fleet.groups().share(targets.size());
+        assigned = true;
+        assignedAtVersion = fleet.version();
+        shared = fleet.groups().isShared(targets.size());
         if (shared) {
-            targets.forEach(TargetState::sharedByAll);
+            targets.forEach(TargetState::shareWithAll);
         } else {
-            Map<String, Integer> groups =
-                    fleet.groups().deal(targets.stream().map(TargetState::info).toList());
-            targets.forEach(t -> t.dealtTo(groups.get(t.incarnation()), fleet));
+            Map<String, Integer> groups = fleet.groups()
+                    .assign(targets.stream().map(TargetState::info).toList());
+            targets.forEach(t -> t.assignTo(groups.get(t.incarnation()), fleet));
         }
-        ours = targets.stream()
-                .filter(t -> t.owners() != TargetState.Owners.ANOTHER_GROUP)
+        ownTargets = targets.stream()
+                .filter(t -> t.ownership() != TargetState.Owners.OTHER_GROUP)
                 .toList();
-        lent.removeAll(ours);
+        borrowedTargets.removeAll(ownTargets);
         for (TargetState t : targets) {
-            t.limit().ifPresent(limit -> limit.givenOutHere(fleet.sharing(t).before(t.incarnation()) == 0));
+            t.limit()
+                    .ifPresent(
+                            limit -> limit.managedHere(fleet.routersSharing(t).position(t.incarnation()) == 0));
         }
     }
 
-    /** Has the targets dealt out anew: one of them has another rate limit. */
+    /** Invalidates the assignment because the rate limit of a target has changed. */
     void limitChanged() {
-        dealt = false;
+        assigned = false;
     }
 
-    /** Whether all routers share all of its targets, none being one group's. */
+    /** Whether all routers share all targets of the service instead of dividing them among groups. */
     boolean shared() {
         return shared;
     }
 
-    /** Notes that a slot of a target is reserved for this router, whosever the target is. */
-    void reservedForUs(TargetState target, long untilMs) {
-        target.reservedForUs(untilMs);
-        if (target.owners() == TargetState.Owners.ANOTHER_GROUP) {
-            lent.add(target);
+    /** Records that a slot of a target is reserved for this router, whichever group the target is assigned to. */
+    void reservedForSelf(TargetState target, long untilMs) {
+        target.reservedForSelf(untilMs);
+        if (target.ownership() == TargetState.Owners.OTHER_GROUP) {
+            borrowedTargets.add(target);
         }
     }
 
-    /** The targets of which this router may take slots: its group's, and those of which one is reserved for it. */
-    private List<TargetState> within(long nowMs) {
-        if (lent.isEmpty()) {
-            return ours;
+    /** Targets whose slots this router may take: those of its group, and those with a slot reserved for it. */
+    private List<TargetState> usableTargets(long nowMs) {
+        if (borrowedTargets.isEmpty()) {
+            return ownTargets;
         }
-        lent.removeIf(t -> !t.isReservedForUs(nowMs));
-        List<TargetState> out = new ArrayList<>(ours);
-        out.addAll(lent);
+        borrowedTargets.removeIf(t -> !t.isReservedForSelf(nowMs));
+        List<TargetState> out = new ArrayList<>(ownTargets);
+        out.addAll(borrowedTargets);
         return out;
     }
 
-    Pace gapMs() {
+    MovingAverage gapMs() {
         return gapMs;
     }
 
-    Pace prefillMs() {
+    MovingAverage prefillMs() {
         return prefillMs;
     }
 
-    Pace plainMs() {
+    MovingAverage plainMs() {
         return plainMs;
     }
 
     /**
-     * The target where a call's answer is expected to end soonest, the way there counted in. To one that it does not
-     * suit it goes only if it suits none: an answer that cannot be whole in time holds a slot for long and is cut off.
+     * Returns the target where the response is expected to end first, including the network cost. A target that does
+     * not suit the call is used only if none suits it: a response that cannot complete in time holds a slot for long
+     * and is then cut off.
      *
-     * @param mayTake at which of the targets with a free slot this router may take one
+     * @param mayTake whether this router may take a free slot of a target
      */
     Optional<TargetState> best(Call call, Predicate<TargetState> mayTake, long nowMs) {
         TargetState best = null;
         double bestCost = Double.MAX_VALUE;
         double meanFailures = meanFailureRate();
-        int mayBeSetAside = (int) (ours.size() * SET_ASIDE_PART);
+        int penaltiesLeft = (int) (ownTargets.size() * MAX_PENALIZED_FRACTION);
         boolean anySuits = settings.uses(Mechanism.SUITABLE_TARGETS) && anySuits(call, nowMs);
-        for (TargetState t : within(nowMs)) {
-            if (!t.hasRoom(nowMs)
+        for (TargetState t : usableTargets(nowMs)) {
+            if (!t.isAvailable(nowMs)
                     || call.avoid().contains(t.incarnation())
                     || anySuits && !t.suits(call, nowMs)
                     || !mayTake.test(t)) {
                 continue;
             }
-            double cost = t.limit().filter(l -> l.wantsAnswer(nowMs)).isPresent() ? 0 : cost(call, t);
-            if (isOutlier(t, meanFailures) && mayBeSetAside-- > 0) {
-                cost += SET_ASIDE_COST_MS;
+            double cost = t.limit().filter(l -> l.needsProbe(nowMs)).isPresent() ? 0 : cost(call, t);
+            if (isOutlier(t, meanFailures) && penaltiesLeft-- > 0) {
+                cost += OUTLIER_PENALTY_MS;
             }
             if (cost < bestCost) {
                 best = t;
@@ -174,11 +179,11 @@
         return Optional.ofNullable(best);
     }
 
-    /** The fastest target of this router's group with a free slot of ours. */
+    /** Returns the fastest target of this router's group with a free slot that this router may take. */
     Optional<TargetState> fastest(Predicate<TargetState> mayTake, long nowMs) {
         TargetState fastest = null;
-        for (TargetState t : ours) {
-            if ((fastest == null || t.gapMs() < fastest.gapMs()) && t.hasRoom(nowMs) && mayTake.test(t)) {
+        for (TargetState t : ownTargets) {
+            if ((fastest == null || t.gapMs() < fastest.gapMs()) && t.isAvailable(nowMs) && mayTake.test(t)) {
                 fastest = t;
             }
         }
@@ -190,8 +195,8 @@
             return t.calls();
         }
         double ms = t.lastByteMs(call);
-        boolean near = t.info().dataCentre().equals(dataCentre);
-        return near ? ms : ms * (1 + FAR_COST) + FAR_COST_MS;
+        boolean sameDataCentre = t.info().dataCentre().equals(dataCentre);
+        return sameDataCentre ? ms : ms * (1 + REMOTE_COST_FACTOR) + REMOTE_COST_MS;
     }
 
     private static boolean isOutlier(TargetState t, double meanFailures) {
@@ -200,24 +205,24 @@
 
     private double meanFailureRate() {
         double sum = 0;
-        for (TargetState t : ours) {
+        for (TargetState t : ownTargets) {
             sum += t.failureRate();
         }
-        return ours.isEmpty() ? 0 : sum / ours.size();
+        return ownTargets.isEmpty() ? 0 : sum / ownTargets.size();
     }
 
-    boolean anyRoom(long nowMs) {
-        for (TargetState t : within(nowMs)) {
-            if (t.hasRoom(nowMs)) {
+    boolean anyAvailable(long nowMs) {
+        for (TargetState t : usableTargets(nowMs)) {
+            if (t.isAvailable(nowMs)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** True when the first byte of a call would be on time if it were sent now. */
+    /** Whether the first byte of a call would be on time if the call were sent now. */
     boolean canBeOnTime(Call call, long nowMs) {
-        for (TargetState t : within(nowMs)) {
+        for (TargetState t : usableTargets(nowMs)) {
             if (t.takesCalls() && nowMs + t.firstByteMs(call) <= call.onTimeUntilMs()) {
                 return true;
             }
@@ -225,9 +230,12 @@
         return false;
     }
 
-    /** Whether a call suits any target; none waits for one that takes only a few calls a second. */
+    /**
+     * Whether any target suits a call. Targets with a rate limit do not count: calls do not wait for a target that
+     * accepts only a few per second.
+     */
     private boolean anySuits(Call call, long nowMs) {
-        for (TargetState t : ours) {
+        for (TargetState t : ownTargets) {
             if (t.takesCalls() && t.limit().isEmpty() && t.suits(call, nowMs)) {
                 return true;
             }
@@ -235,9 +243,9 @@
         return false;
     }
 
-    /** True when a call may go to some of our targets and not to others. */
-    boolean isChoosy(Call call, long nowMs) {
-        for (TargetState t : ours) {
+    /** Whether a call may be sent to only some of this group's targets. */
+    boolean restrictsTargets(Call call, long nowMs) {
+        for (TargetState t : ownTargets) {
             if (t.takesCalls() && (call.avoid().contains(t.incarnation()) || !t.suits(call, nowMs))) {
                 return true;
             }
@@ -246,14 +254,14 @@
     }
 
     /**
-     * How often a slot of our targets falls free, to be used again, while all are taken.
+     * Rate at which slots of this group's targets are freed and can be reused while all are in use.
      *
-     * @param heldMs how long a call holds its slot
+     * @param holdTimeMs how long a call holds its slot
      */
-    double turnoverPerSecond(double heldMs) {
-        double perSlot = MS_PER_SECOND / heldMs;
+    double turnoverPerSecond(double holdTimeMs) {
+        double perSlot = MS_PER_SECOND / holdTimeMs;
         double sum = 0;
-        for (TargetState t : ours) {
+        for (TargetState t : ownTargets) {
             double ofSlots = t.takesCalls() ? t.info().slots() * perSlot : 0;
             sum += t.limit().map(l -> Math.min(l.perSecond(), ofSlots)).orElse(ofSlots);
         }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/SlotBorrowing.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/SlotBorrowing.java
@@ -4,17 +4,17 @@
 import java.util.Optional;
 
 /**
- * Whom to ask for a slot when calls wait and this router's group has none: one router of another group at a time, and
- * the one that gave a slot again. The pause grows while nobody has any to give, so that in an overload of the whole
- * fleet routers do not spend their time asking.
+ * Chooses the router to ask for a slot when calls are queued and this router's group has no free slot. One router of
+ * another group is asked at a time; a router that granted a slot is asked again. The pause between requests grows while
+ * no slot is granted, so that routers do not waste time on requests when the whole fleet is overloaded.
  */
 final class SlotBorrowing {
 
-    private static final long FIRST_PAUSE_MS = 20;
-    private static final long LONGEST_PAUSE_MS = 80;
+    private static final long MIN_PAUSE_MS = 20;
+    private static final long MAX_PAUSE_MS = 80;
 
     private final FleetView fleet;
-    private long pauseMs = FIRST_PAUSE_MS;
+    private long pauseMs = MIN_PAUSE_MS;
     private long askAgainAtMs;
     private int next;
 
@@ -22,21 +22,21 @@
         this.fleet = fleet;
     }
 
-    /** The router to ask now; empty while it is too soon, or there is no other group. */
-    Optional<String> ask(long nowMs) {
-        List<String> others = fleet.otherGroups();
+    /** Returns the router to ask now; empty during a pause, or if there is no other group. */
+    Optional<String> nextRouterToAsk(long nowMs) {
+        List<String> others = fleet.routersOfOtherGroups();
         if (System.getProperty("nob") != null || nowMs < askAgainAtMs || others.isEmpty()) {
             return Optional.empty();
         }
         askAgainAtMs = nowMs + pauseMs;
-        pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
+        pauseMs = Math.min(MAX_PAUSE_MS, pauseMs * 2);
         return Optional.of(others.get(Math.floorMod(next++, others.size())));
     }
 
-    /** Notes that a router of another group has reserved a slot for this one. */
-    void given() {
-        if (pauseMs != FIRST_PAUSE_MS) {
-            pauseMs = FIRST_PAUSE_MS;
+    /** Records that a router of another group has reserved a slot for this one. */
+    void granted() {
+        if (pauseMs != MIN_PAUSE_MS) {
+            pauseMs = MIN_PAUSE_MS;
             askAgainAtMs = 0;
             next--;
         }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Target.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Target.java
@@ -1,18 +1,18 @@
 package org.onyxhinge.core.place;
 
 /**
- * A target as the registry describes it.
+ * A target as described by the registry.
  *
- * @param id its name in the registry and towards itself
- * @param startedAtMs when it started, in ms of the epoch, by its own clock; 0 where it does not say. A target may
- *     start again under its id and then holds nothing of what it had before
+ * @param id its unique name in the registry, also used by the target itself
+ * @param startedAtMs start time of the target in epoch milliseconds, by its own clock; 0 if not reported. A target
+ *     may restart under the same id and then has none of its previous state
  * @param service the service it belongs to
  * @param host address
  * @param port port
- * @param dataCentre where it runs
- * @param slots requests it runs at once
- * @param ready false once it is leaving
- * @param coldLeftMs how much longer it is slow after its start
+ * @param dataCentre data centre it runs in
+ * @param slots number of requests it runs concurrently
+ * @param ready false once it is draining
+ * @param coldLeftMs remaining time for which it is slow after its start
  */
 public record Target(
         String id,
@@ -25,7 +25,7 @@
         boolean ready,
         long coldLeftMs) {
 
-    /** Checks the ranges; throws {@link IllegalArgumentException} naming the bad field. */
+    /** Validates the ranges; throws {@link IllegalArgumentException} naming the invalid field. */
     public Target {
         if (port < 1 || port > 65_535) {
             throw new IllegalArgumentException("target " + id + ": bad port " + port);
@@ -35,12 +35,14 @@
         }
     }
 
-    /** This start of the target, among all targets ever registered. */
+    /** Identifies this start of the target among all targets ever registered. */
     public String incarnation() {
         return startedAtMs == 0 ? id : id + "@" + startedAtMs;
     }
 
-    /** Written out: what the compiler would make links itself by method handles, 17 ms of a starting router. */
+    /**
+     * Implemented by hand: the generated method is linked by method handles, which costs 17 ms when a router starts.
+     */
     @Override
     public boolean equals(Object o) {
         return o instanceof Target t
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/TargetLimit.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/TargetLimit.java
@@ -6,110 +6,113 @@
 import org.onyxhinge.core.limit.TokenBucket;
 
 /**
- * A target's rate limit, which all routers keep together: one of those that share the target gives out what it allows,
- * to its own calls or, by reserving slots, to those of others. A part for each router would be too small to be of use:
- * limits are a few requests a second, and routers are many.
+ * A target's rate limit, which all routers observe together. One of the routers that share the target manages the
+ * limit: it allots the permitted calls to itself or, by reserving slots, to other routers. Splitting the limit evenly
+ * would leave shares too small to be useful, because limits are a few requests per second and there are many routers.
  */
 final class TargetLimit {
 
-    /** Lower limits, 0 included, are raised to this: only an answer can tell that a limit has ended. */
-    private static final double LEAST_PER_SECOND = 0.2;
+    /** Lower limits, including 0, are raised to this value: only a response can show that a limit has ended. */
+    private static final double MIN_PER_SECOND = 0.2;
 
-    /** After so long without a call the target is preferred whatever it costs, for the same reason. */
-    private static final long LONGEST_UNUSED_MS = 2_000;
+    /** After this time without a call the target is preferred regardless of cost, for the same reason. */
+    private static final long MAX_IDLE_MS = 2_000;
 
-    /** Tokens that may gather: a target in need is not to get a burst after a pause. */
-    private static final double MOST_AT_ONCE = 1;
+    /** Maximum number of accumulated tokens: an overloaded target must not get a burst after a pause. */
+    private static final double BURST = 1;
 
     private final double perSecond;
-    /** When a call of each other router was last let go to the target. */
+    /** When a call of each other router was last admitted to the target. */
     private final Map<String, Long> servedAtMs = new HashMap<>();
 
     private long servedHereAtMs;
-    private long namedAtMs;
+    private long advertisedAtMs;
     private long usedAtMs;
-    private boolean givenOutHere;
+    private boolean managedHere;
     private TokenBucket bucket;
 
     /**
-     * A limit that another router gives out.
+     * Creates a limit that another router manages.
      *
-     * @param perSecond requests a second, as the target named it
-     * @param namedAtMs when an answer last named it
+     * @param perSecond requests per second, as advertised by the target
+     * @param advertisedAtMs when a response last advertised it
      */
-    TargetLimit(double perSecond, long namedAtMs) {
+    TargetLimit(double perSecond, long advertisedAtMs) {
         this.perSecond = perSecond;
-        this.namedAtMs = namedAtMs;
-        this.usedAtMs = namedAtMs;
+        this.advertisedAtMs = advertisedAtMs;
+        this.usedAtMs = advertisedAtMs;
     }
 
     double perSecond() {
         return perSecond;
     }
 
-    /** When an answer last named it, as far as is known here. */
-    long namedAtMs() {
-        return namedAtMs;
+    /** When a response last advertised the limit, as far as this router knows. */
+    long advertisedAtMs() {
+        return advertisedAtMs;
     }
 
-    /** Notes that an answer has named it once more. */
-    void namedAgain(long atMs) {
-        namedAtMs = Math.max(namedAtMs, atMs);
+    /** Records that a response has advertised the same limit again. */
+    void advertisedAgain(long atMs) {
+        advertisedAtMs = Math.max(advertisedAtMs, atMs);
     }
 
-    /** Sets whether this router gives it out. */
-    void givenOutHere(boolean here) {
-        givenOutHere = here;
-        if (!here) {
+    /** Sets whether this router manages the limit. */
+    void managedHere(boolean managed) {
+        managedHere = managed;
+        if (!managed) {
             bucket = null;
         }
     }
 
-    boolean isGivenOutHere() {
-        return givenOutHere;
+    boolean isManagedHere() {
+        return managedHere;
     }
 
-    /** Calls that this router may send, or let others send, now. */
+    /** Number of calls that this router may send, or let others send, now. */
     int allows(long nowMs) {
-        return givenOutHere ? Math.max(0, bucket(nowMs).tokens(nowMs)) : 0;
+        return managedHere ? Math.max(0, bucket(nowMs).tokens(nowMs)) : 0;
     }
 
-    /** Notes a call that goes to the target, or a slot there that is reserved for another router. */
+    /** Records a call sent to the target, or a slot there that is reserved for another router. */
     void use(long nowMs) {
-        if (givenOutHere) {
+        if (managedHere) {
             bucket(nowMs).take(nowMs);
             usedAtMs = nowMs;
         }
     }
 
-    /** When a call of another router was last let go there; 0 for never. */
+    /** When a call of another router was last admitted; 0 for never. */
     long servedAtMs(String router) {
         return servedAtMs.getOrDefault(router, 0L);
     }
 
-    /** Whether another router goes before this one: it was served longer ago. */
+    /** Whether another router takes precedence over this one, because it was served less recently. */
     boolean isTurnOf(String router) {
         return servedAtMs(router) < servedHereAtMs;
     }
 
-    /** Notes a slot that is reserved for another router. */
+    /** Records a slot reserved for another router. */
     void served(String router, long nowMs) {
         servedAtMs.put(router, nowMs);
     }
 
-    /** Notes a call of this router. */
+    /** Records a call of this router. */
     void servedHere(long nowMs) {
         servedHereAtMs = nowMs;
     }
 
-    /** True once a call is to go to the target whatever it costs, so that an answer tells whether the limit holds. */
-    boolean wantsAnswer(long nowMs) {
-        return givenOutHere && nowMs - usedAtMs >= LONGEST_UNUSED_MS;
+    /**
+     * Whether a call must be sent to the target regardless of cost, so that its response shows whether the limit still
+     * holds.
+     */
+    boolean needsProbe(long nowMs) {
+        return managedHere && nowMs - usedAtMs >= MAX_IDLE_MS;
     }
 
     private TokenBucket bucket(long nowMs) {
         if (bucket == null) {
-            bucket = TokenBucket.filling(Math.max(LEAST_PER_SECOND, perSecond), MOST_AT_ONCE, nowMs);
+            bucket = TokenBucket.filling(Math.max(MIN_PER_SECOND, perSecond), BURST, nowMs);
         }
         return bucket;
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/TargetState.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/TargetState.java
@@ -6,12 +6,15 @@
 import java.util.Optional;
 
 /**
- * What this router knows of one target: the registry's entry, its own calls there, what its peers say
- * they have there, and how fast and sound it has lately been.
+ * What this router knows of one target: its registry entry, this router's calls there, the calls reported by peers, and
+ * its recent speed and health.
  */
 public final class TargetState {
 
-    /** How much longer work takes on a full batch than alone, as a part; from the engines' shared steps. */
+    /**
+     * Slowdown of work on a full batch relative to a single request, as a fraction; it results from the steps that an
+     * engine shares among its requests.
+     */
     private static final double FULL_BATCH_COST = 0.3;
 
     private static final int ALL_GROUPS = -1;
@@ -20,9 +23,9 @@
     private final String incarnation;
     private final TargetHealth health = new TargetHealth();
     private final Map<String, TargetUse> peers = new HashMap<>();
-    private final Pace gapMs;
-    private final Pace prefillMs;
-    private final Pace plainMs;
+    private final MovingAverage gapMs;
+    private final MovingAverage prefillMs;
+    private final MovingAverage plainMs;
     private Target info;
     private boolean gone;
     private int ownCalls;
@@ -30,24 +33,24 @@
     private int peerCalls;
     private long peerPrefillTokens;
     private final Reservations forPeers = new Reservations();
-    private final Reservations forUs = new Reservations();
-    /** Slots that this router's calls have freed and that it has neither used again nor reserved for anyone. */
-    private int freedHere;
-    /** Slots that this router has taken by its turn and that the others have not heard of yet. */
-    private final Reservations unheard = new Reservations();
+    private final Reservations forSelf = new Reservations();
+    /** Slots freed by this router's calls that it has neither reused nor reserved for a peer. */
+    private int freedSlots;
+    /** Slots this router has taken by its turn and that the other routers have not learned of yet. */
+    private final Reservations unannounced = new Reservations();
 
-    private Owners owners = Owners.ALL;
+    private Owners ownership = Owners.SHARED;
     private int group = ALL_GROUPS;
     private Optional<TargetLimit> limit = Optional.empty();
 
-    /** Whose a target's free slots are. */
+    /** Who may use the free slots of a target. */
     enum Owners {
-        /** All routers': of a service that is not divided, or of a group that nobody is heard of. */
-        ALL,
-        /** The routers of this one's group. */
-        OUR_GROUP,
-        /** Another group's: a slot is this router's only while it is reserved for it. */
-        ANOTHER_GROUP
+        /** All routers: the service is not divided, or no router of the assigned group is live. */
+        SHARED,
+        /** The routers of this router's group. */
+        OWN_GROUP,
+        /** Another group: this router may use a slot only while it is reserved for it. */
+        OTHER_GROUP
     }
 
     TargetState(ServiceTargets service, Target info) {
@@ -59,99 +62,99 @@
         this.plainMs = service.plainMs().child();
     }
 
-    /** The registry's entry. */
+    /** The registry entry. */
     public Target info() {
         return info;
     }
 
-    /** Which start of the target this is; what was learned holds for this one alone. */
+    /** Identifies the start of the target; learned state applies to this incarnation only. */
     public String incarnation() {
         return incarnation;
     }
 
-    /** This router's calls there now. */
+    /** Number of this router's running calls on the target. */
     public int ownCalls() {
         return ownCalls;
     }
 
-    /** Prompt tokens of this router's calls there that have not had their first event. */
+    /** Prompt tokens of this router's calls on the target that have not produced their first event. */
     public long ownPrefillTokens() {
         return ownPrefillTokens;
     }
 
-    /** What peers are told: this router's calls there, and the slots it reserves for one of them. */
+    /** Number of slots reported to peers: this router's calls, and the slots it has reserved for peers. */
     int claimedCalls(long nowMs) {
         return ownCalls + forPeers.count(nowMs);
     }
 
     /**
-     * Reserves a slot for a peer for a while.
+     * Reserves a slot for a peer for a limited time.
      *
-     * @param heardAtMs when the other routers will have heard of it
+     * @param announcedAtMs when the other routers will have learned of it
      */
-    void reserveForPeer(long untilMs, long nowMs, long heardAtMs) {
+    void reserveForPeer(long untilMs, long nowMs, long announcedAtMs) {
         forPeers.add(untilMs);
-        takeSlot(nowMs, heardAtMs);
+        takeSlot(nowMs, announcedAtMs);
     }
 
-    private void takeSlot(long nowMs, long heardAtMs) {
-        if (isReservedForUs(nowMs)) {
-            forUs.takeOne();
+    private void takeSlot(long nowMs, long announcedAtMs) {
+        if (isReservedForSelf(nowMs)) {
+            forSelf.consumeOne();
             return;
         }
         limit.ifPresent(l -> l.use(nowMs));
-        if (freedHere > 0) {
-            freedHere--;
+        if (freedSlots > 0) {
+            freedSlots--;
         } else {
-            unheard.add(heardAtMs);
+            unannounced.add(announcedAtMs);
         }
     }
 
     /**
-     * Whether a free slot there is this router's by its turn: as if the routers took the free slots one by one, in
-     * their order for this target, and began anew after the last.
+     * Whether this router may take a free slot by its turn: the routers take the free slots one at a time, in their
+     * order for this target, and start over after the last one.
      *
-     * @param before routers that come before this one
-     * @param routers all of them
+     * @param before number of routers that precede this one
+     * @param routers number of all routers
      */
-    boolean isOurTurn(int before, int routers, long nowMs) {
-        int taken = unheard.count(nowMs);
+    boolean isOwnTurn(int before, int routers, long nowMs) {
+        int taken = unannounced.count(nowMs);
         return before + routers * taken < freeSlots(nowMs) + taken;
     }
 
-    /** Notes a slot that a peer has reserved for this router for a while. */
-    void reservedForUs(long untilMs) {
-        forUs.add(untilMs);
+    /** Records a slot that a peer has reserved for this router for a limited time. */
+    void reservedForSelf(long untilMs) {
+        forSelf.add(untilMs);
     }
 
-    /** Whose its free slots are. */
-    Owners owners() {
-        return owners;
+    /** Who may use its free slots. */
+    Owners ownership() {
+        return ownership;
     }
 
-    /** All routers share it. */
-    void sharedByAll() {
+    /** Makes the target available to all routers. */
+    void shareWithAll() {
         group = ALL_GROUPS;
-        owners = Owners.ALL;
+        ownership = Owners.SHARED;
     }
 
-    /** It is dealt out to a group of routers. */
-    void dealtTo(int routerGroup, FleetView fleet) {
+    /** Assigns the target to a group of routers. */
+    void assignTo(int routerGroup, FleetView fleet) {
         group = routerGroup;
-        owners = fleet.ownersOf(routerGroup);
+        ownership = fleet.ownershipOf(routerGroup);
     }
 
-    /** Whether a group of routers must be told of what is done there. */
-    boolean concerns(int routerGroup) {
-        return owners == Owners.ALL || group == routerGroup;
+    /** Whether a group of routers must be notified of calls on this target. */
+    boolean isVisibleTo(int routerGroup) {
+        return ownership == Owners.SHARED || group == routerGroup;
     }
 
-    /** Calls there of all routers, as far as is known. */
+    /** Number of running calls of all routers, as far as known. */
     public int calls() {
         return ownCalls + peerCalls;
     }
 
-    /** True when it may get new calls: registered, not leaving. */
+    /** Whether it accepts new calls: registered and not draining. */
     public boolean takesCalls() {
         return !gone && info.ready();
     }
@@ -165,30 +168,33 @@
         gone = true;
     }
 
-    /** Takes what peers say now in place of all they said before. */
+    /** Replaces the calls reported by all peers. */
     void peerUses(Map<String, TargetUse> byPeer) {
         List.copyOf(peers.keySet()).forEach(peer -> peerUse(peer, null));
         byPeer.forEach(this::peerUse);
     }
 
-    /** Notes what a peer has there; an absent use clears it. */
+    /** Replaces the calls reported by a peer; null removes them. */
     void peerUse(String peer, TargetUse use) {
         TargetUse before = use == null ? peers.remove(peer) : peers.put(peer, use);
         peerCalls += (use == null ? 0 : use.calls()) - (before == null ? 0 : before.calls());
         peerPrefillTokens += (use == null ? 0 : use.prefillTokens()) - (before == null ? 0 : before.prefillTokens());
     }
 
-    /** Slots free for this router: those a peer reserves for it count as taken in what the peer says. */
+    /**
+     * Number of slots free for this router. Slots that a peer has reserved for it are included in the calls which that
+     * peer reports, so they are added back.
+     */
     int freeSlots(long nowMs) {
-        int reserved = forUs.count(nowMs);
-        if (owners == Owners.ANOTHER_GROUP || isLimitedElsewhere()) {
+        int reserved = forSelf.count(nowMs);
+        if (ownership == Owners.OTHER_GROUP || isLimitedElsewhere()) {
             return reserved;
         }
         int free = info.slots() - calls() - forPeers.count(nowMs) + reserved;
         return limit.map(l -> Math.min(free, reserved + l.allows(nowMs))).orElse(free);
     }
 
-    /** Sets its rate limit; empty while it names none. */
+    /** Sets the rate limit; empty if none is advertised. */
     void limit(Optional<TargetLimit> now) {
         limit = now;
     }
@@ -198,19 +204,19 @@
     }
 
     private boolean isLimitedElsewhere() {
-        return limit.isPresent() && !limit.get().isGivenOutHere();
+        return limit.isPresent() && !limit.get().isManagedHere();
     }
 
-    /** Whether it has a rate limit that this router gives out. */
+    /** Whether it has a rate limit that this router manages. */
     boolean isLimitedHere() {
-        return limit.isPresent() && limit.get().isGivenOutHere();
+        return limit.isPresent() && limit.get().isManagedHere();
     }
 
-    boolean hasRoom(long nowMs) {
+    boolean isAvailable(long nowMs) {
         if (!takesCalls() || health.paused(nowMs)) {
             return false;
         }
-        // On probation it gets one call of each router, unless it takes only so many from all of them.
+        // On probation each router may send it one call, unless a rate limit bounds the calls of all routers.
         return health.onProbation() && limit.isEmpty() ? ownCalls == 0 : freeSlots(nowMs) > 0;
     }
 
@@ -218,7 +224,7 @@
         return health.failureRate();
     }
 
-    /** Time to the first byte of {@code call}'s answer if it went there now. */
+    /** Expected time to the first byte of the response if {@code call} were sent now. */
     public double firstByteMs(Call call) {
         if (call.promptTokens() == 0) {
             return plainMs.valueMs();
@@ -227,7 +233,7 @@
         return (ahead + call.promptTokens()) * prefillMs.valueMs() + gapMs.valueMs();
     }
 
-    /** Time to the last byte of {@code call}'s answer if it went there now. */
+    /** Expected time to the last byte of the response if {@code call} were sent now. */
     double lastByteMs(Call call) {
         double alone = firstByteMs(call) + call.outputEvents() * gapMs.valueMs();
         double load = (double) calls() / info.slots();
@@ -235,8 +241,8 @@
     }
 
     /**
-     * Whether a call suits this target: its answer would be whole in time if it went there now, and its prompt is read
-     * before the streams that run beside it have paused for too long.
+     * Whether a call suits this target: if sent now, its response would complete in time, and reading its prompt would
+     * not pause the concurrent streams for too long.
      */
     boolean suits(Call call, long nowMs) {
         double pauseMs = call.promptTokens() * prefillMs.valueMs() + gapMs.valueMs();
@@ -245,42 +251,42 @@
     }
 
     /**
-     * Notes that a call goes there.
+     * Records that a call is sent to this target.
      *
-     * @param heardAtMs when the other routers will have heard of it
+     * @param announcedAtMs when the other routers will have learned of it
      */
-    void started(Call call, long nowMs, long heardAtMs) {
-        takeSlot(nowMs, heardAtMs);
+    void started(Call call, long nowMs, long announcedAtMs) {
+        takeSlot(nowMs, announcedAtMs);
         ownCalls++;
         ownPrefillTokens += call.promptTokens();
     }
 
-    /** Notes that the prompt has been read. */
+    /** Records that the prompt has been read. */
     void prefilled(Call call) {
         ownPrefillTokens -= call.promptTokens();
     }
 
     void ended() {
         ownCalls--;
-        freedHere++;
+        freedSlots++;
     }
 
-    /** True while a slot there has been freed by this router's calls, or is reserved for it by a peer. */
-    boolean hasSlotOfOurs(long nowMs) {
-        return freedHere > 0 && owners != Owners.ANOTHER_GROUP || isReservedForUs(nowMs);
+    /** Whether this router's calls have freed a slot here, or a peer has reserved one for it. */
+    boolean hasOwnSlot(long nowMs) {
+        return freedSlots > 0 && ownership != Owners.OTHER_GROUP || isReservedForSelf(nowMs);
     }
 
-    /** True while a peer has reserved a slot there for this router. */
-    boolean isReservedForUs(long nowMs) {
-        return forUs.count(nowMs) > 0;
+    /** Whether a peer has reserved a slot here for this router. */
+    boolean isReservedForSelf(long nowMs) {
+        return forSelf.count(nowMs) > 0;
     }
 
-    /** Lets go of the slots that its calls have freed: they are anyone's. */
-    void letGo() {
-        freedHere = 0;
+    /** Releases the slots freed by this router's calls to all routers. */
+    void releaseFreedSlots() {
+        freedSlots = 0;
     }
 
-    /** When bytes last came from it; 0 for never. */
+    /** When bytes were last received from the target; 0 for never. */
     public long heardAtMs() {
         return health.heardAtMs();
     }
@@ -290,25 +296,25 @@
     }
 
     /**
-     * Learns from a first byte.
+     * Updates the averages with the time to a first byte.
      *
      * @param tookMs time since the call was sent
-     * @param readTokens prompt tokens that were to be read for it, those ahead included
+     * @param readTokens prompt tokens the target had to read first, including those of calls ahead
      */
     void learnFirstByte(double tookMs, long readTokens) {
         if (readTokens == 0) {
             plainMs.sample(tookMs);
-        } else if (readTokens >= ServiceTargets.TELLING_PROMPT_TOKENS) {
+        } else if (readTokens >= ServiceTargets.MIN_PREFILL_SAMPLE_TOKENS) {
             prefillMs.sample(Math.max(0, tookMs - gapMs.valueMs()) / readTokens);
         }
     }
 
-    /** Time between two events of a stream there, as learned. */
+    /** Average time between two events of a stream. */
     double gapMs() {
         return gapMs.valueMs();
     }
 
-    /** Learns from the time between two events of a stream. */
+    /** Updates the average with the time between two events of a stream. */
     public void learnGap(double gap) {
         gapMs.sample(gap);
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/TargetTable.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/TargetTable.java
@@ -8,14 +8,14 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The registered targets by incarnation, those that left lately, and what peers have running on any of them. */
+/** The registered targets by incarnation, the targets that left recently, and the calls of peers on any of them. */
 final class TargetTable {
 
-    /** Enough for all targets of a large site to lapse at once; each takes less than a kilobyte. */
-    private static final int DEPARTED_KEPT = 256;
+    /** Enough for all targets of a large site to lapse at once; each entry takes less than a kilobyte. */
+    private static final int MAX_DEPARTED = 256;
 
-    /** More than the targets of the planned size that can be in need at once. */
-    private static final int LIMITS_KEPT = 4_096;
+    /** More than the number of targets that can advertise a limit at once at the planned fleet size. */
+    private static final int MAX_LIMITS = 4_096;
 
     private final String dataCentre;
     private final PlacementSettings settings;
@@ -25,33 +25,33 @@
     private final Map<String, TargetState> targets = new HashMap<>();
     /** Incarnation of each registered target by its id. */
     private final Map<String, String> incarnations = new HashMap<>();
-    /** Targets that were registered before, by incarnation, the one that left last at the end. */
+    /** Formerly registered targets by incarnation; the one that left last comes last. */
     private final Map<String, TargetState> departed = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, TargetState> eldest) {
-            return size() > DEPARTED_KEPT;
+            return size() > MAX_DEPARTED;
         }
     };
 
-    /** Rate limits by incarnation, also of targets that are not registered yet. */
+    /** Rate limits by incarnation, including those of targets that are not registered yet. */
     private final Map<String, TargetLimit> limits = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, TargetLimit> eldest) {
-            return size() > LIMITS_KEPT;
+            return size() > MAX_LIMITS;
         }
     };
 
     private final Map<String, Map<String, TargetUse>> peerUses = new HashMap<>();
 
-    /** A table without targets; see {@link ServiceTargets} for the parameters. */
+    /** Creates an empty table; see {@link ServiceTargets} for the parameters. */
     TargetTable(String dataCentre, PlacementSettings settings, FleetView fleet) {
         this.fleet = fleet;
         this.dataCentre = dataCentre;
         this.settings = settings;
     }
 
-    /** Takes a registry entry in; see {@link Placement#targetSeen}. */
-    Optional<TargetState> seen(Target info) {
+    /** Applies a registry entry; see {@link Placement#targetSeen}. */
+    Optional<TargetState> register(Target info) {
         TargetState known = targets.get(info.incarnation());
         if (known != null && known.service().name().equals(info.service())) {
             known.update(info);
@@ -82,7 +82,7 @@
         return new TargetState(service, info);
     }
 
-    /** Takes out a target that is no longer registered, and keeps what is known of it for when it is back. */
+    /** Removes a target that is no longer registered and keeps its state in case it is registered again. */
     Optional<TargetState> gone(String id) {
         TargetState known = targets.remove(incarnations.getOrDefault(id, id));
         incarnations.remove(id);
@@ -102,16 +102,16 @@
         return Optional.ofNullable(targets.get(incarnation));
     }
 
-    /** The targets of a service; null while none has been seen. */
+    /** Returns the targets of a service; null if none has been registered. */
     ServiceTargets of(String service) {
         ServiceTargets known = services.get(service);
         if (known != null) {
-            known.dealOut(fleet);
+            known.assignToGroups(fleet);
         }
         return known;
     }
 
-    /** Takes in what a peer has running, in place of what it said before. */
+    /** Replaces the running calls reported by a peer. */
     void peerUses(String peer, Map<String, TargetUse> uses) {
         Map<String, TargetUse> before = uses.isEmpty() ? peerUses.remove(peer) : peerUses.put(peer, uses);
         if (before != null) {
@@ -123,45 +123,45 @@
     }
 
     /**
-     * Notes that a target has named a rate limit.
+     * Records a rate limit advertised by a target.
      *
-     * @param atMs when
-     * @return whether another one, or none, was known before
+     * @param atMs when it was advertised
+     * @return whether the limit is new or has changed
      */
     boolean limitNamed(String incarnation, double perSecond, long atMs) {
         TargetLimit known = limits.get(incarnation);
         if (known != null && known.perSecond() == perSecond) {
-            known.namedAgain(atMs);
+            known.advertisedAgain(atMs);
             return false;
         }
         TargetLimit limit = new TargetLimit(perSecond, atMs);
         limits.put(incarnation, limit);
-        byIncarnation(incarnation).ifPresent(t -> limited(t, Optional.of(limit)));
+        byIncarnation(incarnation).ifPresent(t -> applyLimit(t, Optional.of(limit)));
         return true;
     }
 
     /**
-     * Notes an answer that names no rate limit.
+     * Records a response that advertises no rate limit.
      *
-     * @param sentAtMs when its call was sent; a limit that was named since stays
-     * @return whether a limit is over
+     * @param sentAtMs when the call was sent; a limit advertised since then is kept
+     * @return whether a limit was removed
      */
     boolean limitNotNamed(String incarnation, long sentAtMs) {
         TargetLimit known = limits.get(incarnation);
-        if (known == null || known.namedAtMs() > sentAtMs) {
+        if (known == null || known.advertisedAtMs() > sentAtMs) {
             return false;
         }
         limits.remove(incarnation);
-        byIncarnation(incarnation).ifPresent(t -> limited(t, Optional.empty()));
+        byIncarnation(incarnation).ifPresent(t -> applyLimit(t, Optional.empty()));
         return true;
     }
 
-    private static void limited(TargetState target, Optional<TargetLimit> limit) {
+    private static void applyLimit(TargetState target, Optional<TargetLimit> limit) {
         target.limit(limit);
         target.service().limitChanged();
     }
 
-    /** Every rate limit that is known, by incarnation. */
+    /** All known rate limits, by incarnation. */
     Map<String, TargetLimit> limits() {
         return limits;
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/TargetUse.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/TargetUse.java
@@ -1,14 +1,14 @@
 package org.onyxhinge.core.place;
 
 /**
- * What one router has running on a target, as it tells its peers.
+ * Running calls of one router on a target, as reported to its peers.
  *
- * @param calls its calls there
- * @param prefillTokens prompt tokens of those that have not had their first event
+ * @param calls number of calls
+ * @param prefillTokens prompt tokens of the calls that have not produced their first event
  */
 public record TargetUse(int calls, long prefillTokens) {
 
-    /** Written out, as that of {@link Target} is: it is asked for in each message between routers. */
+    /** Implemented by hand, like that of {@link Target}: it is called for every message between routers. */
     @Override
     public boolean equals(Object o) {
         return o instanceof TargetUse u && calls == u.calls && prefillTokens == u.prefillTokens;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Verdict.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Verdict.java
@@ -2,40 +2,40 @@
 
 import java.util.Optional;
 
-/** What becomes of a call that wants a target. */
+/** Outcome of a call that needs a target. */
 public sealed interface Verdict {
 
-    /** The call this is about. */
+    /** The call that was decided on. */
     Call call();
 
     /**
-     * It goes to a target.
+     * The call is sent to a target.
      *
      * @param call the call
-     * @param target the target, on which it already counts
+     * @param target the target; the call is already counted there
      */
     record Send(Call call, TargetState target) implements Verdict {}
 
     /**
-     * It is refused; it has not run.
+     * The call is refused and has not run.
      *
      * @param call the call
-     * @param reason why
-     * @param retryAfterMs when there will probably be room
-     * @param estimate the wait that decided; empty when no target takes calls
+     * @param reason the reason
+     * @param retryAfterMs time until a slot will probably be available
+     * @param estimate the wait estimate behind the decision; empty if no target accepts calls
      */
     record Refuse(Call call, Reason reason, long retryAfterMs, Optional<WaitEstimate> estimate) implements Verdict {}
 
-    /** It waits for room; a later verdict follows. */
+    /** The call is queued for a slot; another verdict follows. */
     record Wait(Call call) implements Verdict {}
 
-    /** Why a call is refused. */
+    /** Reason for a refusal. */
     enum Reason {
-        /** No target of the service takes calls. */
+        /** No target of the service accepts calls. */
         NO_TARGET,
-        /** The wait for room would be too long. */
+        /** The expected wait is too long. */
         BUSY,
-        /** It waited as long as it may. */
+        /** The call has reached its queue deadline. */
         WAITED
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/WaitingCalls.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/WaitingCalls.java
@@ -8,18 +8,18 @@
 import java.util.function.Predicate;
 
 /**
- * Calls of one service that wait for room. By the rank they go by; within it those that can still be on time go before
- * those that cannot, or one burst would make every later call late as well; of either, callers who were sent
- * away and came back go first, then by arrival.
+ * Queued calls of one service, ordered by the rank they are queued with. Within a rank, calls that can still be on time
+ * precede those that cannot; otherwise one burst would make every later call late as well. Among these, retries of
+ * refused callers come first, then calls in order of arrival.
  */
 final class WaitingCalls {
 
     private final List<Entry> calls = new ArrayList<>();
 
     /**
-     * A call that waits.
+     * A queued call.
      *
-     * @param rank the rank it goes by, which may be more urgent than its own
+     * @param rank the rank it is queued with, which may be more urgent than its own
      */
     record Entry(Call call, int rank, long sinceMs) {}
 
@@ -39,14 +39,14 @@
         return calls.isEmpty();
     }
 
-    /** Number of calls of each {@link Precedence}. */
+    /** Number of calls per {@link Precedence}. */
     Map<Integer, Integer> countByPrecedence(Predicate<Call> onTime) {
         Map<Integer, Integer> out = new HashMap<>();
         calls.forEach(e -> out.merge(Precedence.of(e.rank(), onTime.test(e.call())), 1, Integer::sum));
         return out;
     }
 
-    /** Number of calls of each {@link Precedence} that have waited since a moment. */
+    /** Number of calls per {@link Precedence} that were queued at or before a point in time. */
     Map<Integer, Integer> countSince(long sinceMs, Predicate<Call> onTime) {
         Map<Integer, Integer> out = new HashMap<>();
         calls.stream()
@@ -55,36 +55,36 @@
         return out;
     }
 
-    /** Takes out those that match. */
-    List<Call> take(Predicate<Call> which) {
+    /** Removes and returns the matching calls. */
+    List<Call> removeMatching(Predicate<Call> which) {
         List<Call> out = new ArrayList<>();
         calls.removeIf(e -> which.test(e.call()) && out.add(e.call()));
         return out;
     }
 
     /**
-     * A call in the order in which it goes.
+     * A queued call with its sort keys.
      *
      * @param entry the call
      * @param precedence its {@link Precedence}
-     * @param number its place by arrival
+     * @param number its arrival index
      */
-    record Turn(Entry entry, int precedence, int number) {}
+    record OrderedCall(Entry entry, int precedence, int number) {}
 
-    /** Everyone in the order in which they go. */
-    List<Turn> inOrder(Predicate<Call> onTime) {
-        List<Turn> out = new ArrayList<>();
+    /** All calls in the order in which they are sent. */
+    List<OrderedCall> inOrder(Predicate<Call> onTime) {
+        List<OrderedCall> out = new ArrayList<>();
         for (int i = 0; i < calls.size(); i++) {
             Entry e = calls.get(i);
-            out.add(new Turn(e, Precedence.of(e.rank(), onTime.test(e.call())), i));
+            out.add(new OrderedCall(e, Precedence.of(e.rank(), onTime.test(e.call())), i));
         }
-        out.sort(Comparator.comparingInt(Turn::precedence)
+        out.sort(Comparator.comparingInt(OrderedCall::precedence)
                 .thenComparing(t -> !t.entry().call().returned())
-                .thenComparingInt(Turn::number));
+                .thenComparingInt(OrderedCall::number));
         return out;
     }
 
-    /** Calls that go before a newcomer that goes by {@code rank} and can be on time. */
+    /** Number of calls that precede a new call queued with {@code rank} that can be on time. */
     int ahead(int rank, Predicate<Call> onTime) {
         int n = 0;
         for (Entry e : calls) {
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/package-info.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which target a call goes to, which calls wait and which are refused, for targets that are known by a
- * registry and by what this router and its peers have running there. No I/O and no clock.
+ * Placement of calls: which target a call is sent to, which calls are queued and which are refused, based on the
+ * registry and on the running calls of this router and its peers. Performs no I/O and reads no clock.
  */
 package org.onyxhinge.core.place;
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/AnswerLengthsTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/AnswerLengthsTest.java
@@ -11,12 +11,12 @@
 
 class AnswerLengthsTest {
 
-    private static final int TOKENS_AN_EVENT = 5;
+    private static final int TOKENS_PER_EVENT = 5;
 
     private final AnswerLengths lengths = new AnswerLengths();
 
     @Test
-    void withoutAnExpectationARoutesUsualLengthIsTaken() {
+    void usesRouteAverageWithoutCallerEstimate() {
         for (int i = 0; i < 500; i++) {
             lengths.ended("letters", 80, 0);
         }
@@ -25,28 +25,30 @@
     }
 
     @Test
-    void anExpectationIsTakenAsItHasLatelyComparedWithWhatCame() {
+    void scalesCallerEstimateByRecentRatio() {
         for (int i = 0; i < 500; i++) {
-            lengths.ended("letters", 10 + i % 100, TOKENS_AN_EVENT * (10 + i % 100));
+            lengths.ended("letters", 10 + i % 100, TOKENS_PER_EVENT * (10 + i % 100));
         }
         assertThat((double) lengths.expectedEvents("letters", 1_000), closeTo(200, 10));
         assertThat((double) lengths.expectedEvents("letters", 10), closeTo(2, 1));
     }
 
-    /** Half of the expectations are off by more than two thirds: they still tell the long from the short. */
+    /**
+     * Half of the estimates are off by more than two thirds, but they still separate long responses from short ones.
+     */
     @Test
-    void expectationsThatAreFarOffStillTellLongFromShort() {
+    void inaccurateEstimatesStillSeparateLongFromShort() {
         Random random = new Random(3);
         for (int i = 0; i < 500; i++) {
             int events = 1 + random.nextInt(200);
-            lengths.ended("letters", events, (long) (TOKENS_AN_EVENT * events * Math.exp(random.nextGaussian() / 2)));
+            lengths.ended("letters", events, (long) (TOKENS_PER_EVENT * events * Math.exp(random.nextGaussian() / 2)));
         }
         assertThat(lengths.expectedEvents("letters", 1_000), greaterThan(100L));
         assertThat(lengths.expectedEvents("letters", 20) < 10, is(true));
     }
 
     @Test
-    void nothingIsExpectedToHaveNoEvents() {
+    void expectsAtLeastOneEvent() {
         assertThat(lengths.expectedEvents("letters", 1), is(1L));
     }
 }
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/BeginQueueTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/BeginQueueTest.java
@@ -23,7 +23,7 @@
     class Order {
 
         @Test
-        void theMostUrgentGoesFirstAndOfOneRankTheOneThatCameFirst() {
+        void ordersByRankThenArrival() {
             queue.add("late-1", 2, 100);
             queue.add("urgent-1", 0, 100);
             queue.add("late-2", 2, 100);
@@ -37,7 +37,7 @@
         }
 
         @Test
-        void thoseThatHaveWaitedAsLongAsTheyMayAreTakenOut() {
+        void removesExpiredCalls() {
             queue.add("short", 0, 50);
             queue.add("long", 0, 500);
             assertThat(queue.expired(49), is(empty()));
@@ -50,7 +50,7 @@
     class Wait {
 
         @Test
-        void anIdleRouterExpectsNone() {
+        void isZeroOnAnIdleRouter() {
             queue.add("a", 0, 100);
             queue.next(1);
             queue.add("b", 0, 10_000);
@@ -60,14 +60,14 @@
         }
 
         @Test
-        void itIsTheTimeThatThoseAheadTake() {
+        void isTheTimeToDequeueTheCallsAhead() {
             for (int i = 0; i < 60; i++) {
                 queue.add("c" + i, i % 3, 10_000);
             }
             for (int i = 0; i < 30; i++) {
                 queue.next(i * 10L);
             }
-            // 30 are left, 10 of rank 1 and 20 of rank 2, at 10 ms each.
+            // 30 calls are left, 10 of rank 1 and 20 of rank 2, at 10 ms each.
             assertThat(queue.expectedWaitMs(0), is(0L));
             assertThat(queue.expectedWaitMs(1), greaterThan(80L));
             assertThat(queue.expectedWaitMs(1), lessThan(101L));
@@ -76,18 +76,19 @@
     }
 
     /**
-     * The first second after all routers have started again, on one of six: 45 calls a second, as the users' sheets have
-     * them, and those that came while no router listened, half as many again; a call takes 25 ms of a core of which the
-     * router has 0.57, ten times what it takes later. One call in nine is of the first rank.
+     * Guards against late calls of the first rank after all routers have restarted, when a router that processes calls
+     * in arrival order makes all of them late. Simulates one router of six: 45 calls per second as in the users'
+     * tables, plus half as many again that came while no router listened. A call takes 25 ms of a core, ten times its
+     * later cost, and the router has 0.57 of a core. One call in nine is of the first rank.
      */
     @Nested
-    class AfterARestart {
+    class AfterRestart {
 
         private static final long CALL_MS = 44;
-        private static final long AIM_MS = 600;
-        private static final int FIRST_RANK_ONE_IN = 9;
+        private static final long TARGET_LATENCY_MS = 600;
+        private static final int CALLS_PER_FIRST_RANK_CALL = 9;
 
-        private double onTimeOfTheFirstRank(boolean ranked, long seed) {
+        private double onTimeFractionOfFirstRank(boolean ranked, long seed) {
             Random random = new Random(seed);
             BeginQueue<long[]> calls = BeginQueue.create();
             int asked = 0;
@@ -96,7 +97,7 @@
             for (long nowMs = 0; nowMs < 2_000; nowMs++) {
                 double perMs = nowMs < 500 ? 0.09 : 0.045;
                 if (random.nextDouble() < perMs) {
-                    int rank = random.nextInt(FIRST_RANK_ONE_IN) == 0 ? 0 : 1;
+                    int rank = random.nextInt(CALLS_PER_FIRST_RANK_CALL) == 0 ? 0 : 1;
                     asked += rank == 0 ? 1 : 0;
                     calls.add(new long[] {rank, nowMs}, ranked ? rank : 0, nowMs + 1_200);
                 }
@@ -105,20 +106,20 @@
                     Optional<long[]> next = calls.next(nowMs);
                     busyUntilMs = next.isPresent() ? nowMs + CALL_MS : busyUntilMs;
                     boolean first = next.isPresent() && next.get()[0] == 0;
-                    onTime += first && busyUntilMs - next.get()[1] <= AIM_MS ? 1 : 0;
+                    onTime += first && busyUntilMs - next.get()[1] <= TARGET_LATENCY_MS ? 1 : 0;
                 }
             }
             return (double) onTime / asked;
         }
 
         @Test
-        void theFirstRankIsOnTimeAndWouldNotBeInTheOrderOfArrival() {
+        void firstRankIsOnTimeAndWouldNotBeInArrivalOrder() {
             double ranked = 0;
             double byArrival = 0;
             int seeds = 20;
             for (int seed = 1; seed <= seeds; seed++) {
-                ranked += onTimeOfTheFirstRank(true, seed) / seeds;
-                byArrival += onTimeOfTheFirstRank(false, seed) / seeds;
+                ranked += onTimeFractionOfFirstRank(true, seed) / seeds;
+                byArrival += onTimeFractionOfFirstRank(false, seed) / seeds;
             }
             assertThat(ranked, greaterThan(0.95));
             assertThat(byArrival, lessThan(0.6));
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/BorrowedSlotsTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/BorrowedSlotsTest.java
@@ -21,8 +21,8 @@
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
 /**
- * A fleet of three groups, one a data centre, whose callers all come to one of them: the others have free slots that
- * its routers know nothing of.
+ * A fleet of three groups, one per data centre, in which all calls arrive at one group. The other groups have free
+ * slots that its routers do not know of.
  */
 class BorrowedSlotsTest {
 
@@ -31,9 +31,9 @@
     private static final int ROUTERS = 18;
     private static final int TARGETS = 9;
     private static final int SLOTS = 4;
-    private static final int SLOTS_OF_A_GROUP = SLOTS * TARGETS / DATA_CENTRES;
+    private static final int SLOTS_PER_GROUP = SLOTS * TARGETS / DATA_CENTRES;
 
-    private static final PlacementSettings NOBODY_REFUSED_EARLY =
+    private static final PlacementSettings WITHOUT_EARLY_REFUSAL =
             PlacementSettings.defaults().without(Mechanism.EARLY_REFUSAL);
 
     private final Map<String, Placement> routers = new HashMap<>();
@@ -49,9 +49,9 @@
     }
 
     @BeforeEach
-    void allHearEachOther() {
+    void connectAllRouters() {
         for (int i = 0; i < ROUTERS; i++) {
-            Placement p = Placement.create(id(i), dataCentre(i), NOBODY_REFUSED_EARLY, this::reserved);
+            Placement p = Placement.create(id(i), dataCentre(i), WITHOUT_EARLY_REFUSAL, this::reserved);
             IntStream.range(0, TARGETS)
                     .forEach(t -> p.targetSeen(
                             new Target("t" + t, 0, SERVICE, "10.0.0.1", 80, dataCentre(t), SLOTS, true, 0)));
@@ -76,8 +76,8 @@
                 .build();
     }
 
-    /** Each router tells the others what it has to, and those that have calls waiting ask for slots. */
-    private void talk() {
+    /** Each router sends its updates to the others, and routers with queued calls request slots. */
+    private void exchangeUpdates() {
         routers.forEach((id, p) -> {
             NewsForPeers news = p.news(nowMs);
             routers.forEach((other, to) -> {
@@ -104,14 +104,14 @@
     private void run(int rounds) {
         for (int i = 0; i < rounds; i++) {
             nowMs += 20;
-            talk();
+            exchangeUpdates();
             pump();
         }
     }
 
-    /** As many calls as two groups have slots, all at the routers of the first data centre. */
-    private void allAsk() {
-        for (int i = 0; i < 2 * SLOTS_OF_A_GROUP; i++) {
+    /** Submits as many calls as two groups have slots, all to the routers of the first data centre. */
+    private void submitToFirstDataCentre() {
+        for (int i = 0; i < 2 * SLOTS_PER_GROUP; i++) {
             note(routers.get(id(i * DATA_CENTRES % ROUTERS)).submit(call(), nowMs));
         }
     }
@@ -123,27 +123,27 @@
     }
 
     @Nested
-    class OneGroupHasAllTheCalls {
+    class OneGroupReceivesAllCalls {
 
         @Test
-        void itFillsItsOwnSlotsAndBorrowsTheOthers() {
-            allAsk();
+        void fillsOwnSlotsThenBorrows() {
+            submitToFirstDataCentre();
             run(3);
-            assertThat(sent.size(), greaterThan(SLOTS_OF_A_GROUP - 1));
+            assertThat(sent.size(), greaterThan(SLOTS_PER_GROUP - 1));
             run(25);
-            assertThat(sent.size(), is(2 * SLOTS_OF_A_GROUP));
+            assertThat(sent.size(), is(2 * SLOTS_PER_GROUP));
         }
 
         @Test
-        void noTargetGetsMoreThanItHasSlots() {
-            allAsk();
+        void noTargetExceedsItsSlots() {
+            submitToFirstDataCentre();
             run(25);
             sentByTarget().values().forEach(n -> assertThat(n, lessThanOrEqualTo(SLOTS)));
         }
 
         @Test
-        void aBorrowedSlotIsItsOwnersAgainWhenTheCallHasEnded() {
-            allAsk();
+        void borrowedSlotReturnsToItsGroupWhenTheCallEnds() {
+            submitToFirstDataCentre();
             run(25);
             routers.values()
                     .forEach(p -> sent.stream()
@@ -151,7 +151,7 @@
                             .forEach(s -> p.ended(s.call(), s.target(), false, nowMs)));
             run(3);
             Set<String> taken = new HashSet<>();
-            for (int i = 0; i < SLOTS_OF_A_GROUP; i++) {
+            for (int i = 0; i < SLOTS_PER_GROUP; i++) {
                 if (routers.get(id(1 + i * DATA_CENTRES % ROUTERS)).submit(call(), nowMs) instanceof Verdict.Send s) {
                     taken.add(s.target().info().dataCentre());
                 }
@@ -160,12 +160,12 @@
         }
     }
 
-    /** The other groups are as busy, with calls of the same rank and with less urgent ones. */
+    /** The other groups are equally busy, with calls of the same rank or of a less urgent one. */
     @Nested
-    class EveryGroupHasCallsThatWait {
+    class EveryGroupHasWaitingCalls {
 
-        /** Fills every slot; calls that are left over leave. */
-        private List<Verdict.Send> full() {
+        /** Occupies every slot and withdraws the remaining calls. */
+        private List<Verdict.Send> fillAllSlots() {
             List<Call> calls = new ArrayList<>();
             for (int i = 0; i < 2 * SLOTS * TARGETS; i++) {
                 Call call = call();
@@ -174,13 +174,13 @@
             }
             run(5);
             routers.values().forEach(p -> calls.forEach(p::withdraw));
-            talk();
+            exchangeUpdates();
             assertThat(sent.size(), is(SLOTS * TARGETS));
             return List.copyOf(sent);
         }
 
-        /** A call of a caller who came back: it goes by its own rank, however little of that has been sent. */
-        private void waits(int router, int rank) {
+        /** Submits a retry: it is queued with its own rank, however small that rank's share is. */
+        private void submitRetry(int router, int rank) {
             Call waiting = Call.of(SERVICE, nowMs)
                     .rank(rank, true)
                     .times(nowMs + 400, nowMs + 1_000)
@@ -190,13 +190,14 @@
         }
 
         /**
-         * Calls end at the second data centre, whose own calls wait for the slots; tells how many the first one gets.
+         * Calls end in the second data centre, whose own calls are queued for the slots; returns how many slots the
+         * first group gets.
          */
-        private long lent(int rankOfTheSecond) {
-            List<Verdict.Send> running = full();
+        private long grantedToFirstGroup(int secondGroupRank) {
+            List<Verdict.Send> running = fillAllSlots();
             for (int i = 0; i < ROUTERS; i++) {
-                waits(i, i % DATA_CENTRES == 1 ? rankOfTheSecond : 1);
-                waits(i, i % DATA_CENTRES == 1 ? rankOfTheSecond : 1);
+                submitRetry(i, i % DATA_CENTRES == 1 ? secondGroupRank : 1);
+                submitRetry(i, i % DATA_CENTRES == 1 ? secondGroupRank : 1);
             }
             sent.clear();
             for (Verdict.Send s : running) {
@@ -215,15 +216,15 @@
         }
 
         @Test
-        void aSlotGoesToTheMoreUrgentCallOfAnotherGroup() {
-            assertThat(lent(2), greaterThan(0L));
+        void slotGoesToMoreUrgentCallOfAnotherGroup() {
+            assertThat(grantedToFirstGroup(2), greaterThan(0L));
         }
 
         @Test
-        void aSlotStaysWithARoutersOwnCallThatIsMoreUrgent() {
-            List<Verdict.Send> running = full();
+        void slotStaysWithMoreUrgentOwnCall() {
+            List<Verdict.Send> running = fillAllSlots();
             Placement p = routers.get(id(1));
-            waits(1, 0);
+            submitRetry(1, 0);
             p.slotsWanted(id(0), SERVICE, Map.of(Precedence.of(1, true), 5), nowMs);
             Verdict.Send ended = running.stream()
                     .filter(s -> p.target(s.target().incarnation()).orElseThrow() == s.target())
@@ -236,8 +237,8 @@
         }
 
         @Test
-        void nobodyLendsAndRoutersAskLessAndLessOften() {
-            for (int i = 0; i < 6 * SLOTS_OF_A_GROUP; i++) {
+        void backsOffWhileNoGroupHasFreeSlots() {
+            for (int i = 0; i < 6 * SLOTS_PER_GROUP; i++) {
                 note(routers.get(id(i % ROUTERS)).submit(call(), nowMs));
             }
             run(10);
@@ -254,12 +255,12 @@
         }
     }
 
-    /** A data centre is cut off: nobody hears its routers, and its targets may still be reached. */
+    /** A data centre is cut off: its routers are silent, but its targets may still be reachable. */
     @Nested
-    class AGroupIsNotHeard {
+    class UnreachableGroup {
 
         @Test
-        void itsTargetsAreEveryones() {
+        void itsTargetsAreSharedByAll() {
             IntStream.range(0, ROUTERS)
                     .filter(i -> i % DATA_CENTRES == 2)
                     .forEach(i -> routers.values().forEach(p -> p.peerGone(id(i))));
@@ -274,7 +275,7 @@
         }
 
         @Test
-        void aRouterThatHearsNobodyYetUsesAllOfThem() {
+        void routerWithoutPeersUsesAllTargets() {
             Placement alone =
                     Placement.create(id(0), dataCentre(0), PlacementSettings.defaults(), (peer, target) -> {});
             IntStream.range(0, TARGETS)
@@ -286,9 +287,9 @@
         }
     }
 
-    /** With few routers there is one group, and nothing is borrowed. */
+    /** A small fleet has a single group, so nothing is borrowed. */
     @Test
-    void aSmallFleetAsksNobody() {
+    void smallFleetDoesNotBorrow() {
         Placement p = Placement.create("r0", "dc-0", PlacementSettings.defaults(), (peer, target) -> {});
         IntStream.range(1, 6).forEach(i -> {
             p.routerSeen("r" + i, dataCentre(i));
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/CallTimesTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/CallTimesTest.java
@@ -14,7 +14,7 @@
     class FirstTries {
 
         @Test
-        void areOnTimeFromTheirArrivalOn() {
+        void areTimedFromArrival() {
             CallTimes t = CallTimes.of(1_000, 0, 400, 12_000);
             assertThat(t.returned(), is(false));
             assertThat(t.onTimeUntilMs(), is(1_400L));
@@ -22,22 +22,22 @@
         }
 
         @Test
-        void thatTookAMomentToConnectHaveNotBeenSentAway() {
+        void withShortConnectDelayAreNotRetries() {
             assertThat(CallTimes.of(1_000, 3, 400, 12_000).returned(), is(false));
         }
 
         @Test
-        void areNotHeldBeyondTheirDeadline() {
+        void areNotQueuedBeyondTheirDeadline() {
             CallTimes t = CallTimes.of(1_000, 0, 400, 500);
             assertThat(t.holdUntilMs(), is(1_500 - CallTimes.LEAST_TIME_MS));
         }
     }
 
     @Nested
-    class CallersWhoComeBack {
+    class Retries {
 
         @Test
-        void areLateByWhenTheyFirstAsked() {
+        void areTimedFromTheFirstAttempt() {
             CallTimes t = CallTimes.of(5_000, 4_000, 400, 8_000);
             assertThat(t.returned(), is(true));
             assertThat(t.onTimeUntilMs(), is(1_400L));
@@ -56,18 +56,18 @@
         }
 
         @Test
-        void tellHowLongACallerWasAway() {
+        void revealElapsedTimeOfRetries() {
             usual(40);
             assertThat(deadlines.waitedBeforeMs("outlook", 7_900), is(4_100L));
             assertThat(deadlines.waitedBeforeMs("outlook", 12_000), is(0L));
         }
 
         @Test
-        void ofCallersUnlikeInPatienceTellOnlyWhoWasAwayForLonger() {
+        void withLargeSpreadRevealOnlyLongAbsences() {
             for (int i = 0; i < 128; i++) {
-                // Evenly spread over the last 15 %, in no order.
+                // Spread evenly over the last 15 %, in no particular order.
                 long deadlineMs = 12_000 - i * 37 % 100 * 18;
-                deadlines.firstTry("outlook", deadlineMs);
+                deadlines.recordFirstTry("outlook", deadlineMs);
                 deadlines.waitedBeforeMs("outlook", deadlineMs);
             }
             assertThat(deadlines.waitedBeforeMs("outlook", 10_300), is(0L));
@@ -75,22 +75,22 @@
         }
 
         @Test
-        void ofCallersAllAlikeTellWhoWasAwayAtAll() {
+        void withoutSpreadRevealAnyAbsence() {
             for (int i = 0; i < 40; i++) {
-                deadlines.firstTry("outlook", 12_000 - i % 2 * 3);
+                deadlines.recordFirstTry("outlook", 12_000 - i % 2 * 3);
                 deadlines.waitedBeforeMs("outlook", 12_000 - i % 2 * 3);
             }
             assertThat(deadlines.waitedBeforeMs("outlook", 11_700), is(300L));
         }
 
         @Test
-        void areLearnedForEachRoute() {
+        void areLearnedPerRoute() {
             usual(40);
             assertThat(deadlines.waitedBeforeMs("summary", 3_000), is(0L));
         }
 
         @Test
-        void ofAFewPatientCallersDoNotMakeAllOthersLookLate() {
+        void ofAFewLongOutliersAreIgnored() {
             for (int i = 0; i < 200; i++) {
                 deadlines.waitedBeforeMs("outlook", i % 20 == 0 ? 30_000 : 12_000);
             }
@@ -98,7 +98,7 @@
         }
 
         @Test
-        void ofManyWhoComeBackLeaveTheUsualAsItIs() {
+        void ofManyRetriesDoNotMoveTheUsualValue() {
             for (int i = 0; i < 200; i++) {
                 deadlines.waitedBeforeMs("outlook", i % 2 == 0 ? 12_000 : 8_000 - i);
             }
@@ -106,7 +106,7 @@
         }
 
         @Test
-        void followACallersChangeWithinSeconds() {
+        void adaptToAChangedDeadline() {
             usual(200);
             for (int i = 0; i < 100; i++) {
                 deadlines.waitedBeforeMs("outlook", 6_000);
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/LapsedTargetsTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/LapsedTargetsTest.java
@@ -12,7 +12,7 @@
     private final LapsedTargets lapsed = LapsedTargets.create();
 
     @Test
-    void aTargetThatIsStillMissingAfterItsTimeIsGoneOnce() {
+    void missingTargetExpiresOnce() {
         lapsed.lapsed("a", 1_000);
         lapsed.lapsed("a", 2_500);
         assertThat(lapsed.due(2_999), is(empty()));
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void oneThatIsBackStays() {
+    void reregisteredTargetStays() {
         lapsed.lapsed("a", 1_000);
         lapsed.lapsed("b", 1_000);
         lapsed.settled("a");
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/LimitedTargetTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/LimitedTargetTest.java
@@ -14,7 +14,7 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
-/** Routers before two targets, one of which has named a rate limit. */
+/** Routers in front of two targets, one of which advertises a rate limit. */
 class LimitedTargetTest {
 
     private static final String SERVICE = "writers";
@@ -54,7 +54,7 @@
 
     private long nowMs;
 
-    private void nameLimit(String target) {
+    private void advertiseLimit(String target) {
         routers.forEach(p -> p.limitNamed(target, PER_SECOND, nowMs));
     }
 
@@ -67,7 +67,9 @@
                 .build();
     }
 
-    /** A call at a router every step, in turn; each ends at once, so that slots are never what is short. */
+    /**
+     * Submits a call to one router per step, in turn. Each call ends at once, so that slots are never the bottleneck.
+     */
     private void run() {
         int turn = 0;
         for (long endMs = nowMs + RUN_MS; nowMs < endMs; nowMs += STEP_MS) {
@@ -95,12 +97,12 @@
     class Limited {
 
         @Test
-        void allRoutersTogetherKeepTheLimitAndUseIt() {
+        void routersTogetherKeepAndUseTheLimit() {
             for (int size : new int[] {1, 5, 33}) {
                 routers.clear();
                 sent.clear();
                 fleet(size, "limited", "free");
-                nameLimit("limited");
+                advertiseLimit("limited");
                 run();
                 assertThat("routers " + size, sentTo("limited"), lessThanOrEqualTo(allowed(PER_SECOND)));
                 assertThat("routers " + size, sentTo("limited"), greaterThanOrEqualTo(allowed(PER_SECOND) / 2));
@@ -108,11 +110,13 @@
             }
         }
 
-        /** Guards against calls that are turned away because the limits are given out by routers that they are not at. */
+        /**
+         * Guards against refusing calls because the limits are managed by routers other than those the calls arrive at.
+         */
         @Test
-        void whereAllTargetsAreLimitedRoutersThatGiveOutNoneAreLentSlots() {
+        void routersThatManageNoLimitAreGrantedSlots() {
             fleet(5, "limited");
-            nameLimit("limited");
+            advertiseLimit("limited");
             List<Integer> servedAt = new ArrayList<>();
             Call[] waiting = new Call[routers.size()];
             for (long endMs = RUN_MS; nowMs < endMs; nowMs += STEP_MS) {
@@ -120,7 +124,7 @@
                     Placement p = routers.get(i);
                     List<Verdict> verdicts = new ArrayList<>(p.pump(nowMs));
                     if (waiting[i] == null) {
-                        waiting[i] = patient();
+                        waiting[i] = patientCall();
                         verdicts.add(p.submit(waiting[i], nowMs));
                     }
                     for (Verdict v : verdicts) {
@@ -130,14 +134,14 @@
                             p.ended(s.call(), s.target(), false, nowMs);
                         }
                     }
-                    tellWhatWaits(i, waiting[i] == null ? 0 : 1);
+                    reportWaiting(i, waiting[i] == null ? 0 : 1);
                 }
             }
             assertThat(servedAt.size(), lessThanOrEqualTo(allowed(PER_SECOND)));
             assertThat(servedAt.stream().distinct().count(), is(5L));
         }
 
-        private Call patient() {
+        private Call patientCall() {
             return Call.of(SERVICE, nowMs)
                     .rank(1, false)
                     .times(nowMs + RUN_MS, nowMs + RUN_MS)
@@ -146,7 +150,7 @@
                     .build();
         }
 
-        private void tellWhatWaits(int router, int calls) {
+        private void reportWaiting(int router, int calls) {
             for (int other = 0; other < routers.size(); other++) {
                 if (other != router) {
                     Map<Integer, Integer> waiting = calls == 0 ? Map.of() : Map.of(Precedence.of(1, true), calls);
@@ -156,9 +160,9 @@
         }
 
         @Test
-        void anotherRouterGivesTheLimitOutOnceTheOneThatDidIsSilent() {
+        void anotherRouterManagesTheLimitOnceItsManagerIsSilent() {
             fleet(3, "limited", "free");
-            nameLimit("limited");
+            advertiseLimit("limited");
             run();
             int before = sentTo("limited");
             Placement gone = routers.stream()
@@ -173,11 +177,11 @@
             assertThat(sentTo("limited") - before, lessThanOrEqualTo(allowed(PER_SECOND)));
         }
 
-        /** Guards against every router trying a limited target by itself once none has reached it for a while. */
+        /** Guards against every router probing a limited target independently once none has reached it for a while. */
         @Test
-        void aTargetThatCouldNotBeReachedIsTriedWithinItsLimit() {
+        void unreachableTargetIsProbedWithinItsLimit() {
             fleet(33, "limited", "free");
-            nameLimit("limited");
+            advertiseLimit("limited");
             for (Placement p : routers) {
                 p.unreachable(p.target("limited").orElseThrow(), nowMs);
             }
@@ -186,7 +190,7 @@
         }
 
         @Test
-        void aLimitOfNothingIsTriedNowAndThen() {
+        void zeroLimitIsProbedOccasionally() {
             fleet(5, "limited", "free");
             routers.forEach(p -> p.limitNamed("limited", 0, 0));
             run();
@@ -195,7 +199,7 @@
         }
 
         @Test
-        void aLimitThatIsKnownBeforeItsTargetHolds() {
+        void limitKnownBeforeRegistrationApplies() {
             fleet(1, "free");
             routers.getFirst().limitNamed("limited", PER_SECOND, 0);
             routers.getFirst().targetSeen(new Target("limited", 0, SERVICE, "10.0.0.1", 80, "here", SLOTS, true, 0));
@@ -205,12 +209,12 @@
     }
 
     @Nested
-    class Evidence {
+    class LimitUpdates {
 
         private final Placement router = Placement.create("here");
 
         @Test
-        void onlyTheAnswerToACallThatWasSentSinceEndsALimit() {
+        void onlyAnAnswerToALaterCallEndsALimit() {
             assertThat(router.limitNamed("limited", PER_SECOND, 100), is(true));
             assertThat(router.limitNotNamed("limited", 99), is(false));
             assertThat(router.limitNamed("limited", PER_SECOND, 200), is(false));
@@ -220,14 +224,14 @@
         }
 
         @Test
-        void anotherRateIsNews() {
+        void changedRateIsReported() {
             router.limitNamed("limited", PER_SECOND, 100);
             assertThat(router.limitNamed("limited", 2 * PER_SECOND, 200), is(true));
-            assertThat(router.limits().getFirst(), is(new NamedRate("limited", 2 * PER_SECOND, 200)));
+            assertThat(router.limits().getFirst(), is(new AdvertisedRate("limited", 2 * PER_SECOND, 200)));
         }
 
         @Test
-        void whatIsNoRateIsNotTakenForOne() {
+        void invalidRatesAreUnreadable() {
             assertThat(NamedLimit.parse(null), is(new NamedLimit.None()));
             assertThat(NamedLimit.parse(" 2.4 "), is(new NamedLimit.PerSecond(2.4)));
             assertThat(NamedLimit.parse("0"), is(new NamedLimit.PerSecond(0)));
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/ManyRoutersTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/ManyRoutersTest.java
@@ -17,8 +17,8 @@
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
 /**
- * 31 routers, as the users' grown sites have, that all see the same of one target between two of their messages: what
- * one of them does then, the others cannot know.
+ * 31 routers, as at the users' larger sites, that all have the same view of one target between two updates: none of
+ * them can know what another does in that interval.
  */
 class ManyRoutersTest {
 
@@ -42,9 +42,9 @@
                 .build();
     }
 
-    /** Each router but the first runs nothing; the first has all slots but the free ones. */
+    /** The first router uses all slots but the free ones; the others run no calls. */
     @BeforeEach
-    void allButTwoSlotsAreTaken() {
+    void leaveTwoSlotsFree() {
         for (int i = 0; i < ROUTERS; i++) {
             Placement p = Placement.create(
                     id(i), "here", PlacementSettings.defaults(), (peer, target) -> reserved.add(peer + " " + target));
@@ -58,7 +58,7 @@
         }
     }
 
-    private static boolean sends(Verdict verdict) {
+    private static boolean isSent(Verdict verdict) {
         return verdict instanceof Verdict.Send;
     }
 
@@ -66,7 +66,7 @@
         return routers.subList(1, ROUTERS);
     }
 
-    private void waits(int router, int rank, int calls) {
+    private void reportWaiting(int router, int rank, int calls) {
         IntStream.range(0, ROUTERS)
                 .filter(i -> i != router)
                 .forEach(i -> routers.get(i)
@@ -74,18 +74,18 @@
     }
 
     @Nested
-    class EachHasACall {
+    class EachRouterHasACall {
 
         @Test
-        void noMoreAreSentThanThereAreSlots() {
+        void sendsNoMoreThanFreeSlots() {
             long sent =
-                    others().stream().filter(p -> sends(p.submit(call(1), 0))).count();
+                    others().stream().filter(p -> isSent(p.submit(call(1), 0))).count();
             assertThat(sent <= FREE, is(true));
         }
 
-        /** An engine that is added is free altogether, and every router has calls waiting that could go there. */
+        /** A newly added engine has only free slots, and every router has queued calls that could be sent there. */
         @Test
-        void aTargetThatIsNewIsNotFlooded() {
+        void newTargetIsNotOverloaded() {
             long sent = 0;
             for (Placement p : routers) {
                 p.targetSeen(new Target("new", 0, SERVICE, "10.0.0.3", 80, "here", SLOTS, true, 0));
@@ -101,22 +101,22 @@
         }
 
         @Test
-        void aRouterThatHearsNobodyTakesAnySlot() {
+        void routerWithoutPeersTakesAnySlot() {
             Placement alone = routers.get(7);
             IntStream.range(0, ROUTERS).filter(i -> i != 7).forEach(i -> alone.peerGone(id(i)));
-            assertThat(sends(alone.submit(call(1), 0)), is(true));
+            assertThat(isSent(alone.submit(call(1), 0)), is(true));
         }
     }
 
-    /** Calls of a plain service end before other routers hear of them: 18 places, 31 routers, 50 ms a call. */
+    /** Calls of a plain service end before other routers hear of them: 18 slots, 31 routers, 50 ms per call. */
     @Nested
-    class CallsAreShort {
+    class ShortCalls {
 
         private static final String PLAIN = "print-house";
         private static final int PLAIN_SLOTS = 6;
 
         @Test
-        void everyRouterHasASlotToTake() {
+        void everyRouterCanTakeASlot() {
             for (Placement p : routers) {
                 for (String id : List.of("x", "y", "z")) {
                     p.targetSeen(new Target(id, 0, PLAIN, "10.0.0.2", 80, "here", PLAIN_SLOTS, true, 0));
@@ -126,7 +126,7 @@
         }
 
         @Test
-        void everyRouterTakesALastSlotWhileOthersWait() {
+        void everyRouterTakesTheLastSlotWhileOthersWait() {
             for (int i = 0; i < ROUTERS; i++) {
                 Placement p = routers.get(i);
                 p.targetSeen(new Target("x", 0, PLAIN, "10.0.0.2", 80, "here", PLAIN_SLOTS, true, 0));
@@ -143,17 +143,17 @@
     }
 
     @Nested
-    class OneHasCallsThatWait {
+    class OnePeerHasWaitingCalls {
 
         @Test
-        void noMoreSlotsAreReservedForItThanItHasCalls() {
-            waits(0, 1, 1);
+        void reservesNoMoreSlotsThanItHasCalls() {
+            reportWaiting(0, 1, 1);
             others().forEach(p -> p.pump(10));
             assertThat(reserved.size(), lessThanOrEqualTo(1));
         }
 
         @Test
-        void aSlotThatFallsFreeWhereNobodyWaitsIsReservedForIt() {
+        void freedSlotWithoutLocalWaitersIsReservedForIt() {
             int first = IntStream.range(1, ROUTERS)
                     .filter(i -> isFirstFor(i, id(0)))
                     .findFirst()
@@ -172,20 +172,23 @@
         }
 
         private boolean isFirstFor(int router, String peer) {
-            RouterOrder order = new RouterOrder(id(router));
-            IntStream.range(0, ROUTERS).filter(i -> i != router).forEach(i -> order.joined(id(i)));
-            return order.before(peer) == 0;
+            RendezvousOrder order = new RendezvousOrder(id(router));
+            IntStream.range(0, ROUTERS).filter(i -> i != router).forEach(i -> order.add(id(i)));
+            return order.position(peer) == 0;
         }
     }
 
-    /** Each router sees a few calls end and arrive in a second; what they see together decides who is refused. */
+    /**
+     * Each router sees only a few calls end and arrive per second; refusals are decided by the rates of all routers
+     * together.
+     */
     @Nested
-    class EachSeesAHandful {
+    class RatesOfPeers {
 
         private static final double FREED = 6;
         private static final double URGENT = 2;
 
-        private WaitEstimate estimateOfARefusal(Placement p) {
+        private WaitEstimate estimateOfRefusal(Placement p) {
             Verdict verdict = p.submit(call(1), 0);
             while (!(verdict instanceof Verdict.Refuse)) {
                 verdict = p.submit(call(1), 0);
@@ -194,22 +197,22 @@
         }
 
         @Test
-        void whatTheOthersSeeIsAddedUp() {
+        void areAddedUp() {
             Placement p = routers.getFirst();
             for (int i = 1; i < ROUTERS; i++) {
                 p.peerRates(id(i), Map.of(SERVICE, new ServiceRates(FREED, Map.of(0, URGENT, 1, 50.0))));
             }
-            WaitEstimate estimate = estimateOfARefusal(p);
+            WaitEstimate estimate = estimateOfRefusal(p);
             assertThat(estimate.freedPerSecond(), is(FREED * (ROUTERS - 1)));
             assertThat(estimate.urgentPerSecond(), is(URGENT * (ROUTERS - 1)));
         }
 
         @Test
-        void aRouterThatIsHeardNoLongerCountsNoMore() {
+        void areDroppedWhenAPeerIsGone() {
             Placement p = routers.getFirst();
             p.peerRates(id(1), Map.of(SERVICE, new ServiceRates(FREED, Map.of(0, URGENT))));
             IntStream.range(1, ROUTERS).forEach(i -> p.peerGone(id(i)));
-            assertThat(estimateOfARefusal(p).urgentPerSecond(), is(0.0));
+            assertThat(estimateOfRefusal(p).urgentPerSecond(), is(0.0));
         }
     }
 }
