--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/PlacementTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/PlacementTest.java
@@ -51,8 +51,8 @@
         return out;
     }
 
-    /** Calls that fill a target, one of which ends each time, so that the rate at which slots fall free is known. */
-    private void workOff(int n, long everyMs) {
+    /** Submits calls that keep a target full, with one ending each time, so that the rate of freed slots is known. */
+    private void runThroughput(int n, long everyMs) {
         Deque<Verdict.Send> running = new ArrayDeque<>();
         for (int i = 0; i < n; i++) {
             long nowMs = i * everyMs;
@@ -69,20 +69,20 @@
     }
 
     @Nested
-    class Places {
+    class Slots {
 
         @Test
-        void noMoreIsSentThanATargetRunsAtOnce() {
+        void sendsNoMoreThanTargetSlots() {
             placement.targetSeen(target("a", "here", true));
-            workOff(50, 20);
+            runThroughput(50, 20);
             fill(SLOTS);
             assertThat(placement.submit(call(1, 1_000), 1_000), instanceOf(Verdict.Wait.class));
         }
 
         @Test
-        void whatPeersRunTakesPlacesToo() {
+        void callsOfPeersOccupySlots() {
             placement.targetSeen(target("a", "here", true));
-            workOff(50, 20);
+            runThroughput(50, 20);
             placement.peerUses("other", Map.of("a", new TargetUse(SLOTS, 0)));
             assertThat(placement.submit(call(1, 1_000), 1_000), instanceOf(Verdict.Wait.class));
             placement.peerUses("other", Map.of("a", new TargetUse(SLOTS - 1, 0)));
@@ -92,21 +92,21 @@
         }
 
         @Test
-        void aPeersUseIsKnownForATargetSeenLater() {
+        void peerUseAppliesToTargetRegisteredLater() {
             placement.peerUses("other", Map.of("a", new TargetUse(2, 500)));
             placement.targetSeen(target("a", "here", true));
             assertThat(placement.target("a").orElseThrow().calls(), is(2));
         }
 
         @Test
-        void anEqualTargetNearByGoesFirst() {
+        void prefersEqualTargetInSameDataCentre() {
             placement.targetSeen(target("far", "there", true));
             placement.targetSeen(target("near", "here", true));
             assertThat(fill(1).getFirst().target().info().id(), is("near"));
         }
 
         @Test
-        void theFasterTargetGoesFirst() {
+        void prefersFasterTarget() {
             placement.targetSeen(target("slow", "here", true));
             placement.targetSeen(target("fast", "here", true));
             placement.target("slow").orElseThrow().learnGap(300);
@@ -115,7 +115,7 @@
         }
 
         @Test
-        void aLongPromptAheadSendsTheNextCallElsewhere() {
+        void avoidsTargetWithLongPromptAhead() {
             placement.targetSeen(target("a", "here", true));
             placement.targetSeen(target("b", "here", true));
             Call large = Call.of(SERVICE, 0).times(800, 1_400).work(50_000, 40).build();
@@ -124,7 +124,7 @@
         }
 
         @Test
-        void aTargetIsNotTriedTwice() {
+        void doesNotTryATargetTwice() {
             placement.targetSeen(target("a", "here", true));
             Call again = Call.of(SERVICE, 0)
                     .times(400, 1_000)
@@ -135,41 +135,43 @@
         }
     }
 
-    /** A target that starts again under its id holds nothing of before; one whose registration lapsed holds it all. */
+    /**
+     * A target that restarts under its id has none of its previous state; one whose registration lapsed has all of it.
+     */
     @Nested
-    class StartsAgain {
+    class Restart {
 
         private Target started(long startedAtMs) {
             return new Target("a", startedAtMs, SERVICE, "10.0.0.1", 80, "here", SLOTS, true, 0);
         }
 
         @Test
-        void callsOfTheFormerStartTakeNoPlaceOnTheNewOne() {
+        void callsOfOldIncarnationOccupyNoSlotsOfNewOne() {
             placement.targetSeen(started(1_000));
             fill(SLOTS);
             placement.peerUses("other", Map.of("a@1000", new TargetUse(2, 500)));
             placement.targetSeen(started(2_000));
-            TargetState fresh = placement.target("a@2000").orElseThrow();
-            assertThat(fresh.calls(), is(0));
+            TargetState current = placement.target("a@2000").orElseThrow();
+            assertThat(current.calls(), is(0));
             placement.peerGone("other");
             assertThat(fill(SLOTS), hasSize(SLOTS));
             assertThat(placement.targets(), hasSize(1));
         }
 
         @Test
-        void itsPaceFailuresAndPauseAreForgotten() {
+        void resetsPaceFailuresAndPause() {
             placement.targetSeen(started(1_000));
-            TargetState former = placement.target("a@1000").orElseThrow();
-            former.learnGap(5_000);
-            placement.unreachable(former, 10);
+            TargetState previous = placement.target("a@1000").orElseThrow();
+            previous.learnGap(5_000);
+            placement.unreachable(previous, 10);
             placement.targetSeen(started(2_000));
             Verdict.Send sent = sent(placement.submit(call(1, 20), 20));
             assertThat(sent.target().failureRate(), is(0.0));
-            assertThat(sent.target(), is(not(former)));
+            assertThat(sent.target(), is(not(previous)));
         }
 
         @Test
-        void aCallOfTheFormerStartThatEndsLateFreesNothingOnTheNewOne() {
+        void callOfOldIncarnationFreesNoSlotOfNewOne() {
             placement.targetSeen(started(1_000));
             Verdict.Send before = fill(1).getFirst();
             placement.targetSeen(started(2_000));
@@ -179,21 +181,21 @@
         }
 
         @Test
-        void aTargetThatIsRegisteredAgainStillRunsWhatItRan() {
+        void reregisteredTargetKeepsItsCalls() {
             placement.targetSeen(started(1_000));
             fill(SLOTS);
             placement.targetGone("a");
             placement.peerUses("other", Map.of("a@1000", new TargetUse(1, 0)));
             placement.targetSeen(started(1_000));
-            TargetState back = placement.target("a@1000").orElseThrow();
-            assertThat(back.ownCalls(), is(SLOTS));
-            assertThat(back.calls(), is(SLOTS + 1));
+            TargetState reregistered = placement.target("a@1000").orElseThrow();
+            assertThat(reregistered.ownCalls(), is(SLOTS));
+            assertThat(reregistered.calls(), is(SLOTS + 1));
             placement.peerUses("other", Map.of());
-            assertThat(back.calls(), is(SLOTS));
+            assertThat(reregistered.calls(), is(SLOTS));
         }
 
         @Test
-        void aPeerThatLeftMeanwhileIsNotCountedWhenItIsBack() {
+        void peerGoneMeanwhileIsNotCountedAfterReregistration() {
             placement.targetSeen(started(1_000));
             placement.peerUses("other", Map.of("a@1000", new TargetUse(2, 0)));
             placement.targetGone("a");
@@ -204,19 +206,19 @@
     }
 
     @Nested
-    class Leaving {
+    class Draining {
 
         @Test
-        void aLeavingTargetGetsNothingMore() {
+        void drainingTargetGetsNoCalls() {
             placement.targetSeen(target("a", "here", true));
             placement.targetSeen(target("a", "here", false));
             assertThat(placement.submit(call(0, 0), 0), instanceOf(Verdict.Refuse.class));
         }
 
         @Test
-        void waitingCallsDoNotGoToIt() {
+        void waitingCallsAreNotSentToIt() {
             placement.targetSeen(target("a", "here", true));
-            workOff(50, 20);
+            runThroughput(50, 20);
             List<Verdict.Send> running = fill(SLOTS);
             placement.submit(call(0, 1_000), 1_000);
             placement.targetSeen(target("a", "here", false));
@@ -225,7 +227,7 @@
         }
 
         @Test
-        void aTargetGoneIsForgottenWhileItsCallsEnd() {
+        void unregisteredTargetIsForgottenWhileItsCallsEnd() {
             placement.targetSeen(target("a", "here", true));
             Verdict.Send s = fill(1).getFirst();
             placement.targetGone("a");
@@ -236,7 +238,7 @@
     }
 
     @Nested
-    class WhoWaits {
+    class Queueing {
 
         private Call timed(int rank, boolean returned, long onTimeUntilMs) {
             return Call.of(SERVICE, 1_000)
@@ -247,50 +249,51 @@
         }
 
         @Test
-        void afterABurstTheLateYieldToThoseWhoCanBeOnTime() {
+        void lateCallsYieldToCallsThatCanBeOnTime() {
             placement.targetSeen(target("a", "here", true));
             placement.targetSeen(target("b", "here", true));
-            workOff(100, 10);
+            runThroughput(100, 10);
             List<Verdict.Send> running = fill(2 * SLOTS);
             Call late = timed(1, false, 1_005);
-            Call back = timed(1, true, 1_005);
+            Call retry = timed(1, true, 1_005);
             Call onTime = timed(1, false, 1_800);
             Call onTimeToo = timed(1, false, 1_800);
             Call urgent = timed(0, false, 1_005);
             Call lowest = timed(2, false, 1_800);
-            for (Call c : List.of(lowest, late, back, onTime, onTimeToo, urgent)) {
+            for (Call c : List.of(lowest, late, retry, onTime, onTimeToo, urgent)) {
                 assertThat(placement.submit(c, 1_002), instanceOf(Verdict.Wait.class));
             }
             running.forEach(s -> placement.ended(s.call(), s.target(), false, 1_010));
             List<Call> order = placement.pump(1_010).stream().map(Verdict::call).toList();
-            assertThat(order, is(List.of(urgent, onTime, onTimeToo, back, late, lowest)));
+            assertThat(order, is(List.of(urgent, onTime, onTimeToo, retry, late, lowest)));
         }
 
         @Test
-        void theUrgentGoFirstThenThoseWhoCameBackThenByArrival() {
+        void ordersByRankThenRetriesThenArrival() {
             placement.targetSeen(target("a", "here", true));
-            workOff(100, 10);
+            runThroughput(100, 10);
             List<Verdict.Send> running = fill(SLOTS);
             Call late = call(1, 1_000);
-            Call back = Call.of(SERVICE, 1_001)
+            Call retry = Call.of(SERVICE, 1_001)
                     .rank(1, true)
                     .times(1_400, 2_000)
                     .work(1, 1)
                     .build();
             Call urgent = call(0, 1_002);
-            for (Call c : List.of(late, back, urgent)) {
+            for (Call c : List.of(late, retry, urgent)) {
                 assertThat(placement.submit(c, 1_002), instanceOf(Verdict.Wait.class));
             }
             running.forEach(s -> placement.ended(s.call(), s.target(), false, 1_010));
             List<Call> order = placement.pump(1_010).stream().map(Verdict::call).toList();
-            assertThat(order, is(List.of(urgent, back, late)));
+            assertThat(order, is(List.of(urgent, retry, late)));
         }
 
         @Test
-        void aBurstIsRefusedAtOnceOnceItWouldWaitTooLong() {
-            // Three times the capacity for a second: the queue holds what can start in time, the rest is told now.
+        void refusesBurstOnceExpectedWaitIsTooLong() {
+            // Three times the capacity for one second: calls that can start in time are queued, the rest are refused at
+            // once.
             placement.targetSeen(target("a", "here", true));
-            workOff(100, 10);
+            runThroughput(100, 10);
             fill(SLOTS);
             int waiting = 0;
             long retryMs = 0;
@@ -305,9 +308,9 @@
         }
 
         @Test
-        void whoHasWaitedAsLongAsItMayIsToldThen() {
+        void refusesCallAtItsQueueDeadline() {
             placement.targetSeen(target("a", "here", true));
-            workOff(100, 10);
+            runThroughput(100, 10);
             fill(SLOTS);
             placement.submit(call(1, 1_000), 1_000);
             assertThat(placement.pump(1_999), is(empty()));
@@ -315,9 +318,9 @@
         }
 
         @Test
-        void whoLeavesIsForgotten() {
+        void withdrawnCallIsForgotten() {
             placement.targetSeen(target("a", "here", true));
-            workOff(100, 10);
+            runThroughput(100, 10);
             List<Verdict.Send> running = fill(SLOTS);
             Call c = call(1, 1_000);
             placement.submit(c, 1_000);
@@ -327,20 +330,20 @@
         }
     }
 
-    /** Several routers in front of the same full targets, with calls of unlike urgency waiting at each. */
+    /** Several routers in front of the same full targets, each with queued calls of different ranks. */
     @Nested
-    class PeersInGreaterNeed {
+    class PeersWithMoreUrgentCalls {
 
         private final List<String> reserved = new ArrayList<>();
         private final Placement here = Placement.create(
                 "self", "here", PlacementSettings.defaults(), (peer, target) -> reserved.add(peer + " " + target));
 
-        /** Calls of a rank that can still be on time, as a peer tells of them. */
+        /** Queued calls of one rank that can still be on time, as reported by a peer. */
         private Map<String, Map<Integer, Integer>> waiting(int rank, int calls) {
             return Map.of(SERVICE, Map.of(Precedence.of(rank, true), calls));
         }
 
-        private List<Verdict.Send> full() {
+        private List<Verdict.Send> fillAllSlots() {
             here.targetSeen(target("a", "here", true));
             List<Verdict.Send> running = new ArrayList<>();
             for (int i = 0; i < SLOTS; i++) {
@@ -355,21 +358,21 @@
         }
 
         @Test
-        void aSlotThatFallsFreeIsReservedForThePeerWhoseCallIsMoreUrgent() {
-            List<Verdict.Send> running = full();
+        void freedSlotIsReservedForPeerWithMoreUrgentCall() {
+            List<Verdict.Send> running = fillAllSlots();
             here.peerWaiting("p", waiting(0, 1));
             end(running.getFirst(), 10);
             assertThat(here.pump(10), is(empty()));
             assertThat(reserved, is(List.of("p a")));
             assertThat(
-                    "peers are told that it is taken",
+                    "the reservation is reported to peers",
                     running.getFirst().target().claimedCalls(10),
                     is(SLOTS));
         }
 
         @Test
-        void noMoreSlotsAreReservedThanThePeerHasCalls() {
-            List<Verdict.Send> running = full();
+        void reservesNoMoreSlotsThanPeerHasCalls() {
+            List<Verdict.Send> running = fillAllSlots();
             here.peerWaiting("p", Map.of(SERVICE, Map.of(Precedence.of(0, true), 1, Precedence.of(2, true), 9)));
             end(running.get(0), 10);
             end(running.get(1), 10);
@@ -378,8 +381,8 @@
         }
 
         @Test
-        void aSlotThatThePeerDoesNotUseIsTakenAfterAll() {
-            List<Verdict.Send> running = full();
+        void reservationExpiresWhenUnused() {
+            List<Verdict.Send> running = fillAllSlots();
             here.peerWaiting("p", waiting(0, 1));
             end(running.getFirst(), 10);
             here.pump(10);
@@ -388,8 +391,8 @@
         }
 
         @Test
-        void theSlotGoesToThePeerWithTheMostUrgentCall() {
-            List<Verdict.Send> running = full();
+        void slotGoesToPeerWithMostUrgentCall() {
+            List<Verdict.Send> running = fillAllSlots();
             here.peerWaiting("p", waiting(0, 5));
             here.peerWaiting("q", waiting(-1, 1));
             end(running.getFirst(), 10);
@@ -398,8 +401,8 @@
         }
 
         @Test
-        void callsOfTheSameRankKeepTheirOwnSlots() {
-            List<Verdict.Send> running = full();
+        void callsOfSameRankKeepTheirSlots() {
+            List<Verdict.Send> running = fillAllSlots();
             here.peerWaiting("p", waiting(1, 50));
             end(running.getFirst(), 10);
             assertThat(here.pump(10), hasSize(1));
@@ -407,21 +410,21 @@
         }
 
         @Test
-        void aReservedSlotIsUsedThoughThePeerStillClaimsIt() {
-            full();
+        void reservedSlotIsUsedWhilePeerStillClaimsIt() {
+            fillAllSlots();
             here.peerUses("p", Map.of("a", new TargetUse(1, 0)));
             assertThat(here.pump(20), is(empty()));
             here.slotReserved("a", 20);
-            assertThat("slots are full of own calls and the claim", here.pump(20), is(empty()));
+            assertThat("own calls and the claim of the peer fill all slots", here.pump(20), is(empty()));
             here.slotReserved("a", 20);
             assertThat(here.pump(20), hasSize(1));
-            assertThat("a reservation is used once", here.pump(20), is(empty()));
+            assertThat("a reservation can be used once", here.pump(20), is(empty()));
         }
     }
 
-    /** One target makes an event in 25 ms, the other in 250 ms; answers differ a hundredfold in length. */
+    /** One target produces an event in 25 ms, the other in 250 ms; responses differ in length by a factor of 100. */
     @Nested
-    class AnswersOfUnlikeLength {
+    class AnswersOfDifferentLength {
 
         private Call ofEvents(long events) {
             return Call.of(SERVICE, 0)
@@ -432,7 +435,7 @@
                     .build();
         }
 
-        private Verdict.Send onlyTheSlowOneIsFree() {
+        private Verdict.Send occupyFastTarget() {
             placement.targetSeen(target("slow", "here", true));
             placement.targetSeen(target("fast", "here", true));
             for (int i = 0; i < 50; i++) {
@@ -445,8 +448,8 @@
         }
 
         @Test
-        void aLongOneWaitsForATargetThatFinishesItInTime() {
-            Verdict.Send running = onlyTheSlowOneIsFree();
+        void longAnswerWaitsForTargetThatFinishesInTime() {
+            Verdict.Send running = occupyFastTarget();
             Call longAnswer = ofEvents(100);
             assertThat(placement.submit(longAnswer, 0), instanceOf(Verdict.Wait.class));
             placement.ended(running.call(), running.target(), false, 10);
@@ -456,8 +459,8 @@
         }
 
         @Test
-        void aShortOneGoesByALongOneThatWaits() {
-            onlyTheSlowOneIsFree();
+        void shortAnswerOvertakesWaitingLongOne() {
+            occupyFastTarget();
             Call shortAnswer = ofEvents(4);
             placement.submit(ofEvents(100), 0);
             assertThat(placement.submit(shortAnswer, 0), instanceOf(Verdict.Wait.class));
@@ -465,14 +468,14 @@
         }
 
         @Test
-        void oneThatNoTargetFinishesGoesWhereThereIsRoom() {
-            onlyTheSlowOneIsFree();
+        void answerThatNoTargetFinishesTakesAnyFreeSlot() {
+            occupyFastTarget();
             assertThat(
                     sent(placement.submit(ofEvents(100_000), 0)).target().info().id(), is("slow"));
         }
     }
 
-    /** A prompt is read between the events of the streams that run beside it, which pause as long as that takes. */
+    /** A prompt is read between the events of concurrent streams, which pause for that time. */
     @Nested
     class LongPrompts {
 
@@ -488,7 +491,7 @@
         }
 
         @Test
-        void oneDoesNotGoWhereItHoldsUpStreamsForTooLong() {
+        void isNotSentWhereItStallsStreams() {
             placement.targetSeen(target("slow", "here", true));
             placement.targetSeen(target("fast", "here", true));
             for (int i = 0; i < 50; i++) {
@@ -510,9 +513,9 @@
     class Health {
 
         @Test
-        void anUnreachableTargetIsLeftAloneAndTriedByOneCallLater() {
+        void unreachableTargetIsPausedThenProbedByOneCall() {
             placement.targetSeen(target("a", "here", true));
-            workOff(50, 1);
+            runThroughput(50, 1);
             Verdict.Send s = fill(1).getFirst();
             placement.unreachable(s.target(), 0);
             placement.ended(s.call(), s.target(), false, 0);
@@ -522,7 +525,7 @@
         }
 
         @Test
-        void aRouterThatHasSeenNothingEndYetStillLetsCallsWait() {
+        void routerWithoutCompletedCallsStillQueues() {
             placement.targetSeen(target("a", "here", true));
             placement.peerUses("other", Map.of("a", new TargetUse(SLOTS, 0)));
             Call call = Call.of(SERVICE, 0).times(800, 4_000).work(600, 40).build();
@@ -530,7 +533,7 @@
         }
 
         @Test
-        void aTargetThatFailsWhileItsServiceDoesNotIsTheLastChoice() {
+        void failingTargetIsTheLastChoice() {
             for (String id : List.of("a", "b", "c")) {
                 placement.targetSeen(target(id, "here", true));
             }
@@ -546,7 +549,7 @@
         }
 
         @Test
-        void aTargetThatTurnsCallsAwayRestsForAMoment() {
+        void sheddingTargetIsPaused() {
             placement.targetSeen(target("a", "here", true));
             placement.targetSeen(target("b", "here", true));
             placement.shed(placement.target("a").orElseThrow(), 0);
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/RankSharesTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/RankSharesTest.java
@@ -15,8 +15,8 @@
 import static org.hamcrest.Matchers.lessThan;
 
 /**
- * One router before one target that ends 50 calls a second (10 places, 200 ms a call), for 30 seconds; the users' calls
- * are late after 400 ms and wait for a second at most.
+ * One router in front of one target that completes 50 calls per second (10 slots, 200 ms per call), for 30 seconds. As
+ * at the users' sites, calls are late after 400 ms and are queued for at most one second.
  */
 class RankSharesTest {
 
@@ -25,106 +25,112 @@
     private static final long CALL_MS = 200;
     private static final long LENGTH_MS = 30_000;
 
-    /** The users call a kind shut out that is served less than a quarter as often as all are. */
-    private static final double LEAST_OF_ALL = 0.25;
+    /**
+     * By the users' definition a kind of request is starved if it is served less than a quarter as often as all
+     * requests.
+     */
+    private static final double STARVATION_THRESHOLD = 0.25;
 
     private static final int MS_PER_SECOND = 1_000;
 
     private final SplittableRandom random = new SplittableRandom(1);
     private final Placement placement = Placement.create("here");
     private final Map<Call, TargetState> running = new IdentityHashMap<>();
-    private final Map<Call, Long> endsAtMs = new IdentityHashMap<>();
+    private final Map<Call, Long> callEndsAtMs = new IdentityHashMap<>();
     private final Map<Integer, Integer> asked = new HashMap<>();
     private final Map<Integer, Integer> sent = new HashMap<>();
 
-    private void take(Verdict verdict, long nowMs) {
+    private void noteVerdict(Verdict verdict, long nowMs) {
         if (verdict instanceof Verdict.Send s) {
             running.put(s.call(), s.target());
-            endsAtMs.put(s.call(), nowMs + CALL_MS);
+            callEndsAtMs.put(s.call(), nowMs + CALL_MS);
             sent.merge(s.call().rank(), 1, Integer::sum);
         }
     }
 
-    private void ask(int rank, boolean cameBack, long nowMs) {
+    private void submit(int rank, boolean retry, long nowMs) {
         Call call = Call.of(SERVICE, nowMs)
-                .rank(rank, cameBack)
+                .rank(rank, retry)
                 .times(nowMs + 400, nowMs + 1_000)
                 .work(600, 4)
                 .build();
         asked.merge(rank, 1, Integer::sum);
-        take(placement.submit(call, nowMs), nowMs);
+        noteVerdict(placement.submit(call, nowMs), nowMs);
     }
 
-    /** Asks for so many calls of each rank in a second, at random times. */
-    private void play(Map<Integer, Integer> callsPerSecond, boolean lastCameBack) {
+    /** Submits the given number of calls per second of each rank, at random times. */
+    private void runLoad(Map<Integer, Integer> callsPerSecond, boolean lastRankRetries) {
         placement.targetSeen(new Target("a", 0, SERVICE, "10.0.0.1", 80, "here", SLOTS, true, 0));
         TreeMap<Integer, Integer> perSecond = new TreeMap<>(callsPerSecond);
         int last = perSecond.lastKey();
         for (long nowMs = 0; nowMs < LENGTH_MS; nowMs++) {
             long ms = nowMs;
-            endsAtMs.entrySet().removeIf(e -> {
+            callEndsAtMs.entrySet().removeIf(e -> {
                 boolean over = e.getValue() <= ms;
                 if (over) {
                     placement.ended(e.getKey(), running.remove(e.getKey()), false, ms);
                 }
                 return over;
             });
-            placement.pump(ms).forEach(v -> take(v, ms));
+            placement.pump(ms).forEach(v -> noteVerdict(v, ms));
             perSecond.forEach((rank, n) -> {
                 if (random.nextInt(MS_PER_SECOND) < n) {
-                    ask(rank, rank == last && lastCameBack, ms);
+                    submit(rank, rank == last && lastRankRetries, ms);
                 }
             });
         }
     }
 
-    private double part(int rank) {
+    private double fractionSent(int rank) {
         return (double) sent.getOrDefault(rank, 0) / asked.get(rank);
     }
 
-    private double partOfAll() {
+    private double fractionOfAll() {
         int all = asked.values().stream().mapToInt(i -> i).sum();
         return (double) sent.values().stream().mapToInt(i -> i).sum() / all;
     }
 
     @Nested
-    class MoreUrgentCallsAloneWantAllPlaces {
+    class UrgentCallsExceedCapacity {
 
         @Test
-        void theLastRankIsNotShutOut() {
-            play(Map.of(0, 62, 2, 20), false);
-            assertThat(part(2), greaterThanOrEqualTo(LEAST_OF_ALL * partOfAll()));
+        void lastRankIsNotStarved() {
+            runLoad(Map.of(0, 62, 2, 20), false);
+            assertThat(fractionSent(2), greaterThanOrEqualTo(STARVATION_THRESHOLD * fractionOfAll()));
         }
 
         @Test
-        void itIsServedLessOftenThanTheMoreUrgent() {
-            play(Map.of(0, 62, 2, 20), false);
-            assertThat(part(2), lessThan(part(0)));
+        void lastRankIsServedLessThanUrgentOne() {
+            runLoad(Map.of(0, 62, 2, 20), false);
+            assertThat(fractionSent(2), lessThan(fractionSent(0)));
         }
 
         @Test
-        void noneOfSeveralIsShutOut() {
-            play(Map.of(0, 62, 1, 50, 1_000, 20, 1_002, 10), false);
+        void noneOfSeveralRanksIsStarved() {
+            runLoad(Map.of(0, 62, 1, 50, 1_000, 20, 1_002, 10), false);
             for (int rank : asked.keySet()) {
-                assertThat("rank " + rank, part(rank), greaterThanOrEqualTo(LEAST_OF_ALL * partOfAll()));
+                assertThat(
+                        "rank " + rank,
+                        fractionSent(rank),
+                        greaterThanOrEqualTo(STARVATION_THRESHOLD * fractionOfAll()));
             }
         }
 
         @Test
-        void callersWhoCameBackAreLateAnywayAndGoByTheirOwnRank() {
-            play(Map.of(0, 62, 2, 20), true);
-            assertThat(part(2), lessThan(0.05));
+        void retriesGoByTheirOwnRank() {
+            runLoad(Map.of(0, 62, 2, 20), true);
+            assertThat(fractionSent(2), lessThan(0.05));
         }
     }
 
     @Nested
-    class RoomForMost {
+    class OnlyLastRankExceedsCapacity {
 
         @Test
-        void theMoreUrgentAreAllServedWhereOnlyTheLastRankIsTooMuch() {
-            play(Map.of(0, 30, 2, 40), false);
-            assertThat(part(0), greaterThan(0.99));
-            assertThat(part(2), greaterThan(0.4));
+        void urgentCallsAreAllServed() {
+            runLoad(Map.of(0, 30, 2, 40), false);
+            assertThat(fractionSent(0), greaterThan(0.99));
+            assertThat(fractionSent(2), greaterThan(0.4));
         }
     }
 }
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/RegistryReadsTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/RegistryReadsTest.java
@@ -6,26 +6,26 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * An incident: a router that had been cut off for eight seconds sent a call to a target 4.8 s after that had given up
- * its registration. Two reads after its return, it took the registration for one that had lapsed with the registry and
- * kept the target for two seconds more.
+ * Guards against taking a slow registry response for an outage. A router that had been cut off for eight seconds took
+ * the registration that a target had given up for one that had lapsed with the registry. It kept the target for two
+ * more seconds and sent it a call 4.8 s after the registration had been given up.
  *
- * <p>It reckoned from when the last answered read had been asked for. That read had been answered slowly, as the
- * first one after a long time, and the next was asked for after the usual pause, so that 2.8 s had passed though the
- * registry had answered 1.4 s before. What proved it: the router's lines of both reads.
+ * <p>The gap was measured from when the previous answered read had been requested. That read was answered slowly, being
+ * the first one after a long time, and the next one was requested after the usual pause. The measured gap was 2.8 s
+ * although the registry had answered 1.4 s before, as the router's log lines for both reads showed.
  */
 class RegistryReadsTest {
 
     private final RegistryReads reads = RegistryReads.create();
 
     @Test
-    void aSlowAnswerIsNoAbsence() {
+    void slowAnswerIsNoOutage() {
         reads.passedOn(28_270);
         assertThat(reads.wasAway(29_718), is(false));
     }
 
     @Test
-    void nothingReadForLongerThanARegistrationHoldsIsOne() {
+    void gapLongerThanRegistrationTtlIsAnOutage() {
         reads.passedOn(1_000);
         assertThat(reads.wasAway(3_500), is(true));
         reads.passedOn(3_500);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void beforeTheFirstReadNothingCanBeMissing() {
+    void noOutageBeforeFirstRead() {
         assertThat(reads.wasAway(60_000), is(false));
     }
 }
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/RouterOrderTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/RendezvousOrderTest.java
@@ -11,50 +11,50 @@
 import static org.hamcrest.Matchers.greaterThan;
 import static org.hamcrest.Matchers.is;
 
-class RouterOrderTest {
+class RendezvousOrderTest {
 
     private static final List<String> ROUTERS =
             IntStream.range(0, 31).mapToObj(i -> "router-" + i).toList();
 
-    private static RouterOrder orderAt(String self) {
-        RouterOrder order = new RouterOrder(self);
-        ROUTERS.stream().filter(r -> !r.equals(self)).forEach(order::joined);
+    private static RendezvousOrder orderAt(String self) {
+        RendezvousOrder order = new RendezvousOrder(self);
+        ROUTERS.stream().filter(r -> !r.equals(self)).forEach(order::add);
         return order;
     }
 
-    private static Set<Integer> places(List<String> routers, String name) {
-        return routers.stream().map(r -> orderAt(r).before(name)).collect(Collectors.toSet());
+    private static Set<Integer> positions(List<String> routers, String name) {
+        return routers.stream().map(r -> orderAt(r).position(name)).collect(Collectors.toSet());
     }
 
     @Test
-    void allRoutersAgreeOnOneOrder() {
-        assertThat(places(ROUTERS, "target-7").size(), is(ROUTERS.size()));
+    void allRoutersAgreeOnTheOrder() {
+        assertThat(positions(ROUTERS, "target-7").size(), is(ROUTERS.size()));
     }
 
     @Test
-    void theRouterOfTheNameTakesNoPart() {
+    void routerOfTheNameIsLeftOut() {
         List<String> others =
                 ROUTERS.stream().filter(r -> !r.equals("router-3")).toList();
         assertThat(
-                places(others, "router-3"),
+                positions(others, "router-3"),
                 is(IntStream.range(0, others.size()).boxed().collect(Collectors.toSet())));
     }
 
     @Test
-    void aRouterComesFirstForSomeNamesAndNotForOthers() {
-        RouterOrder order = orderAt("router-0");
+    void routerComesFirstForSomeNamesOnly() {
+        RendezvousOrder order = orderAt("router-0");
         long first = IntStream.range(0, 310)
-                .filter(i -> order.before("target-" + i) == 0)
+                .filter(i -> order.position("target-" + i) == 0)
                 .count();
         assertThat(first, greaterThan(0L));
         assertThat(310 - first, greaterThan(200L));
     }
 
     @Test
-    void aRouterAloneComesFirst() {
-        RouterOrder order = orderAt("router-0");
-        order.before("target-1");
-        ROUTERS.forEach(order::left);
-        assertThat(order.before("target-1"), is(0));
+    void singleRouterComesFirst() {
+        RendezvousOrder order = orderAt("router-0");
+        order.position("target-1");
+        ROUTERS.forEach(order::remove);
+        assertThat(order.position("target-1"), is(0));
     }
 }
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/RouterGroupsTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/RouterGroupsTest.java
@@ -32,8 +32,8 @@
     }
 
     private static RouterGroups fleet(int routers, int dataCentres) {
-        RouterGroups groups = new RouterGroups(RouterGroups.MOST_IN_ONE);
-        IntStream.range(0, routers).forEach(i -> groups.joined(id(i), dataCentre(i, dataCentres)));
+        RouterGroups groups = new RouterGroups(RouterGroups.MAX_UNDIVIDED);
+        IntStream.range(0, routers).forEach(i -> groups.add(id(i), dataCentre(i, dataCentres)));
         return groups;
     }
 
@@ -46,7 +46,7 @@
     private static Map<Integer, List<Integer>> members(RouterGroups groups, int routers) {
         Map<Integer, List<Integer>> out = new HashMap<>();
         IntStream.range(0, routers)
-                .forEach(i -> out.computeIfAbsent(groups.of(id(i)), g -> new ArrayList<>())
+                .forEach(i -> out.computeIfAbsent(groups.groupOf(id(i)), g -> new ArrayList<>())
                         .add(i));
         return out;
     }
@@ -55,12 +55,12 @@
     class Routers {
 
         @Test
-        void ofASmallFleetAreOneGroup() {
+        void ofSmallFleetFormOneGroup() {
             assertThat(fleet(12, 5).count(), is(1));
         }
 
         @Test
-        void ofADataCentreAreAGroup() {
+        void ofOneDataCentreFormOneGroup() {
             RouterGroups groups = fleet(33, 5);
             assertThat(groups.count(), is(5));
             for (List<Integer> group : members(groups, 33).values()) {
@@ -69,7 +69,7 @@
         }
 
         @Test
-        void ofALargeDataCentreAreSeveralGroups() {
+        void ofLargeDataCentreFormSeveralGroups() {
             RouterGroups groups = fleet(300, 5);
             for (List<Integer> group : members(groups, 300).values()) {
                 assertThat(group.size(), greaterThanOrEqualTo(5));
@@ -79,29 +79,29 @@
         }
 
         @Test
-        void ofSmallDataCentresAreJoined() {
+        void ofSmallDataCentresAreMerged() {
             for (List<Integer> group : members(fleet(21, 10), 21).values()) {
                 assertThat(group.size(), greaterThanOrEqualTo(5));
             }
         }
 
         @Test
-        void areDividedAlikeInWhateverOrderTheyAreSeen() {
+        void areGroupedIndependentlyOfOrder() {
             RouterGroups groups = fleet(100, 5);
             List<Integer> order =
                     new ArrayList<>(IntStream.range(0, 100).boxed().toList());
             Collections.shuffle(order, new Random(7));
-            RouterGroups other = new RouterGroups(RouterGroups.MOST_IN_ONE);
-            order.forEach(i -> other.joined(id(i), dataCentre(i, 5)));
-            IntStream.range(0, 100).forEach(i -> assertThat(other.of(id(i)), is(groups.of(id(i)))));
+            RouterGroups other = new RouterGroups(RouterGroups.MAX_UNDIVIDED);
+            order.forEach(i -> other.add(id(i), dataCentre(i, 5)));
+            IntStream.range(0, 100).forEach(i -> assertThat(other.groupOf(id(i)), is(groups.groupOf(id(i)))));
         }
 
         @Test
-        void thatAreNotRegisteredHaveNoGroup() {
+        void thatAreUnregisteredHaveNoGroup() {
             RouterGroups groups = fleet(33, 5);
-            assertThat(groups.left(id(3)), is(true));
-            assertThat(groups.left(id(3)), is(false));
-            assertThat(groups.of(id(3)), is(-1));
+            assertThat(groups.remove(id(3)), is(true));
+            assertThat(groups.remove(id(3)), is(false));
+            assertThat(groups.groupOf(id(3)), is(-1));
         }
     }
 
@@ -109,42 +109,42 @@
     class Targets {
 
         @Test
-        void areDealtOutInProportionToTheRouters() {
+        void areAssignedInProportionToRouters() {
             RouterGroups groups = fleet(33, 5);
             Map<Integer, Integer> counts = new HashMap<>();
-            groups.deal(targets(37, 5)).values().forEach(g -> counts.merge(g, 1, Integer::sum));
+            groups.assign(targets(37, 5)).values().forEach(g -> counts.merge(g, 1, Integer::sum));
             members(groups, 33)
                     .forEach(
                             (g, routers) -> assertThat((double) counts.get(g), closeTo(routers.size() * 37 / 33.0, 1)));
         }
 
         @Test
-        void goMostlyToRoutersOfTheirDataCentre() {
+        void areMostlyAssignedWithinTheirDataCentre() {
             RouterGroups groups = fleet(33, 5);
             Map<Integer, List<Integer>> members = members(groups, 33);
-            Map<String, Integer> dealt = groups.deal(targets(37, 5));
-            long atHome = IntStream.range(0, 37)
-                    .filter(i -> members.get(dealt.get("t" + i)).getFirst() % 5 == i % 5)
+            Map<String, Integer> assigned = groups.assign(targets(37, 5));
+            long inSameDataCentre = IntStream.range(0, 37)
+                    .filter(i -> members.get(assigned.get("t" + i)).getFirst() % 5 == i % 5)
                     .count();
-            assertThat(atHome, greaterThan(30L));
+            assertThat(inSameDataCentre, greaterThan(30L));
         }
 
         @Test
-        void thatAreFewAreSharedByAll() {
-            assertThat(fleet(33, 5).share(5), is(true));
-            assertThat(fleet(33, 5).share(37), is(false));
-            assertThat(fleet(12, 5).share(37), is(true));
+        void areSharedWhenFew() {
+            assertThat(fleet(33, 5).isShared(5), is(true));
+            assertThat(fleet(33, 5).isShared(37), is(false));
+            assertThat(fleet(12, 5).isShared(37), is(true));
         }
 
         @Test
-        void stayWhereTheyAreWhenOneOfThemOrARouterGoes() {
+        void mostlyStayWhenATargetOrRouterLeaves() {
             RouterGroups groups = fleet(100, 5);
             List<Target> targets = targets(200, 5);
-            Map<String, Integer> before = groups.deal(targets);
-            Map<String, Integer> without = groups.deal(targets.subList(1, 200));
+            Map<String, Integer> before = groups.assign(targets);
+            Map<String, Integer> without = groups.assign(targets.subList(1, 200));
             assertThat(moved(before, without), lessThan(20L));
-            groups.left(id(42));
-            assertThat(moved(before, groups.deal(targets)), lessThan(20L));
+            groups.remove(id(42));
+            assertThat(moved(before, groups.assign(targets)), lessThan(20L));
         }
 
         private static long moved(Map<String, Integer> before, Map<String, Integer> now) {
