--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Admission.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Admission.java
@@ -29,7 +29,7 @@
 
     /** Whether the expected wait of a call ends after its queue deadline. */
     boolean exceedsMaxWait(Call call, WaitEstimate estimate, long nowMs) {
-        return refuseEarly && nowMs + estimate.waitMs() > call.holdUntilMs();
+        return refuseEarly && nowMs + estimate.waitMs() > call.queueDeadlineMs();
     }
 
     /** Estimates how long a call that is queued with {@code rank} would wait. */
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Call.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Call.java
@@ -11,10 +11,10 @@
 
     private final String service;
     private final int rank;
-    private final boolean returned;
-    private final long onTimeUntilMs;
-    private final long holdUntilMs;
-    private final long endsAtMs;
+    private final boolean isRetry;
+    private final long firstByteDeadlineMs;
+    private final long queueDeadlineMs;
+    private final long responseDeadlineMs;
     private final long gapTargetMs;
     private final long promptTokens;
     private final long outputEvents;
@@ -23,10 +23,10 @@
     private Call(Builder b) {
         this.service = b.service;
         this.rank = b.rank;
-        this.returned = b.returned;
-        this.onTimeUntilMs = b.onTimeUntilMs;
-        this.holdUntilMs = b.holdUntilMs;
-        this.endsAtMs = b.endsAtMs;
+        this.isRetry = b.isRetry;
+        this.firstByteDeadlineMs = b.firstByteDeadlineMs;
+        this.queueDeadlineMs = b.queueDeadlineMs;
+        this.responseDeadlineMs = b.responseDeadlineMs;
         this.gapTargetMs = b.gapTargetMs;
         this.promptTokens = b.promptTokens;
         this.outputEvents = b.outputEvents;
@@ -49,23 +49,23 @@
     }
 
     /** Whether this is a retry by a caller that was refused before. */
-    public boolean returned() {
-        return returned;
+    public boolean isRetry() {
+        return isRetry;
     }
 
     /** Deadline for the first byte to count as on time. */
-    public long onTimeUntilMs() {
-        return onTimeUntilMs;
+    public long firstByteDeadlineMs() {
+        return firstByteDeadlineMs;
     }
 
     /** Latest time until which the call may be queued. */
-    public long holdUntilMs() {
-        return holdUntilMs;
+    public long queueDeadlineMs() {
+        return queueDeadlineMs;
     }
 
     /** Deadline for the complete response. */
-    public long endsAtMs() {
-        return endsAtMs;
+    public long responseDeadlineMs() {
+        return responseDeadlineMs;
     }
 
     /** Longest gap between two events of a stream that counts as on time; 0 for no bound. */
@@ -94,37 +94,37 @@
         private final String service;
         private final Set<String> avoid = new HashSet<>();
         private int rank;
-        private boolean returned;
-        private long onTimeUntilMs;
-        private long holdUntilMs;
-        private long endsAtMs = Long.MAX_VALUE;
+        private boolean isRetry;
+        private long firstByteDeadlineMs;
+        private long queueDeadlineMs;
+        private long responseDeadlineMs = Long.MAX_VALUE;
         private long gapTargetMs;
         private long promptTokens;
         private long outputEvents;
 
         private Builder(String service, long arrivedAtMs) {
             this.service = service;
-            this.onTimeUntilMs = arrivedAtMs;
-            this.holdUntilMs = arrivedAtMs;
+            this.firstByteDeadlineMs = arrivedAtMs;
+            this.queueDeadlineMs = arrivedAtMs;
         }
 
         /** Sets the rank and whether this is a retry. */
         public Builder rank(int value, boolean retry) {
             rank = value;
-            returned = retry;
+            isRetry = retry;
             return this;
         }
 
         /** Sets the deadline of the first byte and the latest time until which the call may be queued. */
         public Builder times(long onTimeMs, long holdMs) {
-            onTimeUntilMs = onTimeMs;
-            holdUntilMs = holdMs;
+            firstByteDeadlineMs = onTimeMs;
+            queueDeadlineMs = holdMs;
             return this;
         }
 
         /** Sets the deadline of the complete response. */
-        public Builder endsAt(long ms) {
-            endsAtMs = ms;
+        public Builder responseDeadline(long ms) {
+            responseDeadlineMs = ms;
             return this;
         }
 
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/CallTimes.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/CallTimes.java
@@ -4,14 +4,14 @@
  * Deadlines of one request, all on the same monotonic clock, and whether it is a retry by a caller that was refused
  * before.
  *
- * @param onTimeUntilMs deadline for the first byte to count as on time, measured from the caller's first attempt
- * @param holdUntilMs latest time until which the request may be queued
- * @param endsAtMs deadline for the complete response
+ * @param firstByteDeadlineMs deadline for the first byte to count as on time, measured from the caller's first attempt
+ * @param queueDeadlineMs latest time until which the request may be queued
+ * @param responseDeadlineMs deadline for the complete response
  */
-public record CallTimes(boolean returned, long onTimeUntilMs, long holdUntilMs, long endsAtMs) {
+public record CallTimes(boolean isRetry, long firstByteDeadlineMs, long queueDeadlineMs, long responseDeadlineMs) {
 
     /** Minimum remaining time for an attempt at a target; with less, no target could respond in time. */
-    public static final long LEAST_TIME_MS = 30;
+    public static final long MIN_REMAINING_MS = 30;
 
     /**
      * How long a call may be queued beyond its target latency. A late response is still useful, but the caller of a
@@ -31,10 +31,11 @@
      *     shorter
      */
     public static CallTimes of(long arrivedAtMs, long waitedBeforeMs, long targetLatencyMs, long deadlineMs) {
-        boolean returned = waitedBeforeMs >= MIN_RETRY_ELAPSED_MS;
-        long endsAtMs = arrivedAtMs + deadlineMs;
-        long onTimeUntilMs = arrivedAtMs - (returned ? waitedBeforeMs : 0) + targetLatencyMs;
-        long holdUntilMs = Math.min(arrivedAtMs + targetLatencyMs + MAX_LATE_WAIT_MS, endsAtMs - LEAST_TIME_MS);
-        return new CallTimes(returned, onTimeUntilMs, holdUntilMs, endsAtMs);
+        boolean isRetry = waitedBeforeMs >= MIN_RETRY_ELAPSED_MS;
+        long responseDeadlineMs = arrivedAtMs + deadlineMs;
+        long firstByteDeadlineMs = arrivedAtMs - (isRetry ? waitedBeforeMs : 0) + targetLatencyMs;
+        long queueDeadlineMs =
+                Math.min(arrivedAtMs + targetLatencyMs + MAX_LATE_WAIT_MS, responseDeadlineMs - MIN_REMAINING_MS);
+        return new CallTimes(isRetry, firstByteDeadlineMs, queueDeadlineMs, responseDeadlineMs);
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/FleetView.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/FleetView.java
@@ -132,7 +132,7 @@
     /** Time until the routers that share the targets of a service learn what this one does now. */
     long propagationDelayMs(ServiceTargets service, boolean callsWait) {
         return service.shared() && groups.count() > 1
-                ? PeerCadence.SIGN_OF_LIFE_MS
-                : PeerCadence.intervalMs(groupPeerCount(), callsWait);
+                ? PeerUpdateSchedule.PEER_HEARTBEAT_MS
+                : PeerUpdateSchedule.intervalMs(groupPeerCount(), callsWait);
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/BeginQueue.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/IntakeQueue.java
@@ -16,7 +16,7 @@
  *
  * @param <T> type that represents a call
  */
-public final class BeginQueue<T> {
+public final class IntakeQueue<T> {
 
     /** Weight of the newest interval between two dequeued calls; the average spans about seven. */
     private static final double SMOOTHING_FACTOR = 0.15;
@@ -27,13 +27,13 @@
     private double msPerCall;
     private long lastDequeuedAtMs = -1;
 
-    private record Entry<T>(T call, int rank, long holdUntilMs, long number) {}
+    private record Entry<T>(T call, int rank, long queueDeadlineMs, long number) {}
 
-    private BeginQueue() {}
+    private IntakeQueue() {}
 
     /** Creates an empty queue. */
-    public static <T> BeginQueue<T> create() {
-        return new BeginQueue<>();
+    public static <T> IntakeQueue<T> create() {
+        return new IntakeQueue<>();
     }
 
     /** Returns whether no call is queued. */
@@ -49,10 +49,10 @@
     /**
      * Adds a call.
      *
-     * @param holdUntilMs when the call expires from the queue
+     * @param queueDeadlineMs when the call expires from the queue
      */
-    public void add(T call, int rank, long holdUntilMs) {
-        entries.add(new Entry<>(call, rank, holdUntilMs, added++));
+    public void add(T call, int rank, long queueDeadlineMs) {
+        entries.add(new Entry<>(call, rank, queueDeadlineMs, added++));
     }
 
     /** Removes and returns the call to process next. */
@@ -73,7 +73,7 @@
     /** Removes and returns the calls whose queue deadline has passed. */
     public List<T> expired(long nowMs) {
         List<T> out = new ArrayList<>();
-        entries.removeIf(e -> nowMs >= e.holdUntilMs() && out.add(e.call()));
+        entries.removeIf(e -> nowMs >= e.queueDeadlineMs() && out.add(e.call()));
         return out;
     }
 
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/PeerNews.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/PeerUpdate.java
@@ -13,8 +13,8 @@
  * @param rates call rates of those services as seen by this router
  * @param borrowed targets in {@code uses} that belong to the peer's group and not to this router's
  */
-public record PeerNews(
-        boolean near,
+public record PeerUpdate(
+        boolean sameGroup,
         Map<String, TargetUse> uses,
         Map<String, Map<Integer, Integer>> waiting,
         Map<String, ServiceRates> rates,
@@ -28,7 +28,7 @@
     }
 
     /** Returns an empty update, for a peer that has not been sent any. */
-    public static PeerNews none() {
-        return new PeerNews(true, Map.of(), Map.of(), Map.of(), Set.of());
+    public static PeerUpdate none() {
+        return new PeerUpdate(true, Map.of(), Map.of(), Map.of(), Set.of());
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/PeerCadence.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/PeerUpdateSchedule.java
@@ -1,10 +1,10 @@
 package org.onyxhinge.core.place;
 
 /** Determines how often a router reports its running and queued calls to each peer. */
-public final class PeerCadence {
+public final class PeerUpdateSchedule {
 
     /** Longest interval between two messages to the same router. */
-    public static final long SIGN_OF_LIFE_MS = 400;
+    public static final long PEER_HEARTBEAT_MS = 400;
 
     /** While slots are free, routers rarely compete for one, so few updates are needed. */
     private static final long MIN_INTERVAL_MS = 60;
@@ -21,7 +21,7 @@
 
     private static final long QUEUED_MS_PER_LINK = 4;
 
-    private PeerCadence() {}
+    private PeerUpdateSchedule() {}
 
     /**
      * Whether an update is due now. A router of the same group is sent every change at once. A router of another group
@@ -32,11 +32,11 @@
      * @param before the last update sent
      * @param agoMs time since the last update
      */
-    public static boolean isDue(PeerNews now, PeerNews before, double agoMs) {
-        if (agoMs >= SIGN_OF_LIFE_MS) {
+    public static boolean isDue(PeerUpdate now, PeerUpdate before, double agoMs) {
+        if (agoMs >= PEER_HEARTBEAT_MS) {
             return true;
         }
-        if (now.near()) {
+        if (now.sameGroup()) {
             return !now.uses().equals(before.uses()) || !now.waiting().equals(before.waiting());
         }
         return !now.borrowedUses().equals(before.borrowedUses());
@@ -50,6 +50,6 @@
         long wantedMs = callsWait
                 ? Math.max(MIN_INTERVAL_QUEUED_MS, links * QUEUED_MS_PER_LINK)
                 : Math.max(MIN_INTERVAL_MS, links * MS_PER_LINK);
-        return Math.min(wantedMs, SIGN_OF_LIFE_MS);
+        return Math.min(wantedMs, PEER_HEARTBEAT_MS);
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/NewsForPeers.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/PeerUpdates.java
@@ -9,16 +9,16 @@
 import java.util.function.BiConsumer;
 
 /** State that a router reports to its peers at one point in time; all routers of a group receive the same. */
-public final class NewsForPeers {
+public final class PeerUpdates {
 
     private final FleetView fleet;
     private final TargetTable targets;
     private final Map<String, ServiceDemand> demands;
     private final List<TargetState> inUse = new ArrayList<>();
-    private final Map<Integer, PeerNews> byGroup = new HashMap<>();
+    private final Map<Integer, PeerUpdate> byGroup = new HashMap<>();
     private final long nowMs;
 
-    NewsForPeers(FleetView fleet, TargetTable targets, Map<String, ServiceDemand> demands, long nowMs) {
+    PeerUpdates(FleetView fleet, TargetTable targets, Map<String, ServiceDemand> demands, long nowMs) {
         this.fleet = fleet;
         this.targets = targets;
         this.demands = demands;
@@ -31,12 +31,12 @@
     }
 
     /** Returns the update for one peer. */
-    public PeerNews forRouter(String router) {
-        boolean near = fleet.isInOwnGroup(router);
-        return byGroup.computeIfAbsent(fleet.groups().groupOf(router), group -> updateFor(group, near));
+    public PeerUpdate forRouter(String router) {
+        boolean sameGroup = fleet.isInOwnGroup(router);
+        return byGroup.computeIfAbsent(fleet.groups().groupOf(router), group -> updateFor(group, sameGroup));
     }
 
-    private PeerNews updateFor(int group, boolean near) {
+    private PeerUpdate updateFor(int group, boolean sameGroup) {
         Map<String, TargetUse> uses = new HashMap<>();
         Set<String> borrowed = new HashSet<>();
         for (TargetState t : inUse) {
@@ -47,12 +47,12 @@
                 }
             }
         }
-        return new PeerNews(near, uses, waiting(near), rates(near), borrowed);
+        return new PeerUpdate(sameGroup, uses, waiting(sameGroup), rates(sameGroup), borrowed);
     }
 
-    private Map<String, Map<Integer, Integer>> waiting(boolean near) {
+    private Map<String, Map<Integer, Integer>> waiting(boolean sameGroup) {
         Map<String, Map<Integer, Integer>> out = new HashMap<>();
-        forEachSharedService(near, (service, demand) -> {
+        forEachSharedService(sameGroup, (service, demand) -> {
             if (!demand.waiting().isEmpty()) {
                 out.put(service.name(), demand.waiting().countByPrecedence(c -> service.canBeOnTime(c, nowMs)));
             }
@@ -60,17 +60,17 @@
         return out;
     }
 
-    private Map<String, ServiceRates> rates(boolean near) {
+    private Map<String, ServiceRates> rates(boolean sameGroup) {
         Map<String, ServiceRates> out = new HashMap<>();
-        forEachSharedService(near, (service, demand) -> out.put(service.name(), demand.rates(nowMs)));
+        forEachSharedService(sameGroup, (service, demand) -> out.put(service.name(), demand.rates(nowMs)));
         return out;
     }
 
     /** Visits the services whose targets are shared with routers of the own group, or else with all routers. */
-    private void forEachSharedService(boolean near, BiConsumer<ServiceTargets, ServiceDemand> each) {
+    private void forEachSharedService(boolean sameGroup, BiConsumer<ServiceTargets, ServiceDemand> each) {
         demands.forEach((name, demand) -> {
             ServiceTargets service = targets.of(name);
-            if (service != null && (near || service.shared())) {
+            if (service != null && (sameGroup || service.shared())) {
                 each.accept(service, demand);
             }
         });
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Placement.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/Placement.java
@@ -176,8 +176,8 @@
     }
 
     /** Returns the current updates for all peers. */
-    public NewsForPeers news(long nowMs) {
-        return new NewsForPeers(fleet, targets, demands, nowMs);
+    public PeerUpdates news(long nowMs) {
+        return new PeerUpdates(fleet, targets, demands, nowMs);
     }
 
     /** Handles an arriving call: it is sent, queued or refused. */
@@ -206,7 +206,7 @@
     }
 
     /** Returns whether {@link #submit} would send a call at once. */
-    public boolean takesNow(Call call, long nowMs) {
+    public boolean canSendNow(Call call, long nowMs) {
         ServiceTargets service = targets.of(call.service());
         if (service == null) {
             return false;
@@ -251,7 +251,7 @@
 
     private void pump(ServiceTargets service, ServiceDemand demand, long nowMs, List<Verdict> out) {
         WaitingCalls queue = demand.waiting();
-        for (Call call : queue.removeMatching(c -> nowMs >= c.holdUntilMs())) {
+        for (Call call : queue.removeMatching(c -> nowMs >= c.queueDeadlineMs())) {
             WaitEstimate estimate = admission.expectedWait(call, call.rank(), service, demand, nowMs);
             demand.refused(call, nowMs);
             out.add(Admission.refuse(call, Verdict.Reason.WAITED, estimate));
@@ -340,8 +340,8 @@
      * @param atMs when it was advertised
      * @return whether this changes the known limit
      */
-    public boolean limitNamed(String incarnation, double perSecond, long atMs) {
-        return targets.limitNamed(incarnation, perSecond, atMs);
+    public boolean limitAdvertised(String incarnation, double perSecond, long atMs) {
+        return targets.limitAdvertised(incarnation, perSecond, atMs);
     }
 
     /**
@@ -350,8 +350,8 @@
      * @param sentAtMs when the call was sent
      * @return whether this removes a known limit
      */
-    public boolean limitNotNamed(String incarnation, long sentAtMs) {
-        return targets.limitNotNamed(incarnation, sentAtMs);
+    public boolean limitNotAdvertised(String incarnation, long sentAtMs) {
+        return targets.limitNotAdvertised(incarnation, sentAtMs);
     }
 
     /** Returns all known rate limits. */
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/RankShares.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/RankShares.java
@@ -40,7 +40,7 @@
     }
 
     void refused(Call call, long nowMs) {
-        if (!call.returned()) {
+        if (!call.isRetry()) {
             counts(call.rank()).refused().add(nowMs);
         }
     }
@@ -56,7 +56,7 @@
      * The rank a call is queued with: its own, or the most urgent one while too small a share of its own rank is sent.
      */
     int effectiveRank(Call call, long nowMs) {
-        return !call.returned() && isUnderserved(call.rank(), nowMs)
+        return !call.isRetry() && isUnderserved(call.rank(), nowMs)
                 ? byRank.keySet().iterator().next()
                 : call.rank();
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/RegistryReads.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/RegistryReads.java
@@ -23,12 +23,12 @@
     }
 
     /** Records that a response of the registry has been processed completely. */
-    public void passedOn(long nowMs) {
+    public void readCompleted(long nowMs) {
         lastReadAtMs = nowMs;
     }
 
     /** Whether the gap before the read now being processed was long enough for registrations to have lapsed. */
-    public boolean wasAway(long nowMs) {
+    public boolean wasUnavailable(long nowMs) {
         return lastReadAtMs != Long.MAX_VALUE && agoMs(nowMs) > OUTAGE_THRESHOLD_MS;
     }
 
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/AnswerLengths.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/ResponseLengthEstimator.java
@@ -8,7 +8,7 @@
  * the length is learned. If the caller supplies an estimate, it is scaled by the recent ratio of actual to estimated
  * length.
  */
-public final class AnswerLengths {
+public final class ResponseLengthEstimator {
 
     /** Weight of the newest response. Lengths vary widely, so the average spans about 50 responses. */
     private static final double SMOOTHING_FACTOR = 0.02;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/ServiceTargets.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/ServiceTargets.java
@@ -223,7 +223,7 @@
     /** Whether the first byte of a call would be on time if the call were sent now. */
     boolean canBeOnTime(Call call, long nowMs) {
         for (TargetState t : usableTargets(nowMs)) {
-            if (t.takesCalls() && nowMs + t.firstByteMs(call) <= call.onTimeUntilMs()) {
+            if (t.takesCalls() && nowMs + t.firstByteMs(call) <= call.firstByteDeadlineMs()) {
                 return true;
             }
         }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/TargetState.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/TargetState.java
@@ -246,7 +246,7 @@
      */
     boolean suits(Call call, long nowMs) {
         double pauseMs = call.promptTokens() * prefillMs.valueMs() + gapMs.valueMs();
-        return nowMs + lastByteMs(call) <= call.endsAtMs()
+        return nowMs + lastByteMs(call) <= call.responseDeadlineMs()
                 && (call.gapTargetMs() == 0 || pauseMs <= call.gapTargetMs());
     }
 
@@ -315,7 +315,7 @@
     }
 
     /** Updates the average with the time between two events of a stream. */
-    public void learnGap(double gap) {
+    public void recordGap(double gap) {
         gapMs.sample(gap);
     }
 
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/TargetTable.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/TargetTable.java
@@ -128,7 +128,7 @@
      * @param atMs when it was advertised
      * @return whether the limit is new or has changed
      */
-    boolean limitNamed(String incarnation, double perSecond, long atMs) {
+    boolean limitAdvertised(String incarnation, double perSecond, long atMs) {
         TargetLimit known = limits.get(incarnation);
         if (known != null && known.perSecond() == perSecond) {
             known.advertisedAgain(atMs);
@@ -146,7 +146,7 @@
      * @param sentAtMs when the call was sent; a limit advertised since then is kept
      * @return whether a limit was removed
      */
-    boolean limitNotNamed(String incarnation, long sentAtMs) {
+    boolean limitNotAdvertised(String incarnation, long sentAtMs) {
         TargetLimit known = limits.get(incarnation);
         if (known == null || known.advertisedAtMs() > sentAtMs) {
             return false;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/WaitingCalls.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/WaitingCalls.java
@@ -79,7 +79,7 @@
             out.add(new OrderedCall(e, Precedence.of(e.rank(), onTime.test(e.call())), i));
         }
         out.sort(Comparator.comparingInt(OrderedCall::precedence)
-                .thenComparing(t -> !t.entry().call().returned())
+                .thenComparing(t -> !t.entry().call().isRetry())
                 .thenComparingInt(OrderedCall::number));
         return out;
     }
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/BorrowedSlotsTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/BorrowedSlotsTest.java
@@ -79,7 +79,7 @@
     /** Each router sends its updates to the others, and routers with queued calls request slots. */
     private void exchangeUpdates() {
         routers.forEach((id, p) -> {
-            NewsForPeers news = p.news(nowMs);
+            PeerUpdates news = p.news(nowMs);
             routers.forEach((other, to) -> {
                 if (!other.equals(id)) {
                     to.peerUses(id, news.forRouter(other).uses());
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/CallTimesTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/CallTimesTest.java
@@ -16,20 +16,20 @@
         @Test
         void areTimedFromArrival() {
             CallTimes t = CallTimes.of(1_000, 0, 400, 12_000);
-            assertThat(t.returned(), is(false));
-            assertThat(t.onTimeUntilMs(), is(1_400L));
-            assertThat(t.endsAtMs(), is(13_000L));
+            assertThat(t.isRetry(), is(false));
+            assertThat(t.firstByteDeadlineMs(), is(1_400L));
+            assertThat(t.responseDeadlineMs(), is(13_000L));
         }
 
         @Test
         void withShortConnectDelayAreNotRetries() {
-            assertThat(CallTimes.of(1_000, 3, 400, 12_000).returned(), is(false));
+            assertThat(CallTimes.of(1_000, 3, 400, 12_000).isRetry(), is(false));
         }
 
         @Test
         void areNotQueuedBeyondTheirDeadline() {
             CallTimes t = CallTimes.of(1_000, 0, 400, 500);
-            assertThat(t.holdUntilMs(), is(1_500 - CallTimes.LEAST_TIME_MS));
+            assertThat(t.queueDeadlineMs(), is(1_500 - CallTimes.MIN_REMAINING_MS));
         }
     }
 
@@ -39,8 +39,8 @@
         @Test
         void areTimedFromTheFirstAttempt() {
             CallTimes t = CallTimes.of(5_000, 4_000, 400, 8_000);
-            assertThat(t.returned(), is(true));
-            assertThat(t.onTimeUntilMs(), is(1_400L));
+            assertThat(t.isRetry(), is(true));
+            assertThat(t.firstByteDeadlineMs(), is(1_400L));
         }
     }
 
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/BeginQueueTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/IntakeQueueTest.java
@@ -15,9 +15,9 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.lessThan;
 
-class BeginQueueTest {
+class IntakeQueueTest {
 
-    private final BeginQueue<String> queue = BeginQueue.create();
+    private final IntakeQueue<String> queue = IntakeQueue.create();
 
     @Nested
     class Order {
@@ -90,7 +90,7 @@
 
         private double onTimeFractionOfFirstRank(boolean ranked, long seed) {
             Random random = new Random(seed);
-            BeginQueue<long[]> calls = BeginQueue.create();
+            IntakeQueue<long[]> calls = IntakeQueue.create();
             int asked = 0;
             int onTime = 0;
             long busyUntilMs = 0;
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/LimitedTargetTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/LimitedTargetTest.java
@@ -55,14 +55,14 @@
     private long nowMs;
 
     private void advertiseLimit(String target) {
-        routers.forEach(p -> p.limitNamed(target, PER_SECOND, nowMs));
+        routers.forEach(p -> p.limitAdvertised(target, PER_SECOND, nowMs));
     }
 
     private Call call() {
         return Call.of(SERVICE, nowMs)
                 .rank(1, false)
                 .times(nowMs + 400, nowMs + 1_000)
-                .endsAt(nowMs + 10_000)
+                .responseDeadline(nowMs + 10_000)
                 .work(600, 40)
                 .build();
     }
@@ -145,7 +145,7 @@
             return Call.of(SERVICE, nowMs)
                     .rank(1, false)
                     .times(nowMs + RUN_MS, nowMs + RUN_MS)
-                    .endsAt(nowMs + RUN_MS)
+                    .responseDeadline(nowMs + RUN_MS)
                     .work(600, 40)
                     .build();
         }
@@ -192,7 +192,7 @@
         @Test
         void zeroLimitIsProbedOccasionally() {
             fleet(5, "limited", "free");
-            routers.forEach(p -> p.limitNamed("limited", 0, 0));
+            routers.forEach(p -> p.limitAdvertised("limited", 0, 0));
             run();
             assertThat(sentTo("limited"), greaterThan(0));
             assertThat(sentTo("limited"), lessThanOrEqualTo((int) (RUN_MS / 4_000) + 1));
@@ -201,7 +201,7 @@
         @Test
         void limitKnownBeforeRegistrationApplies() {
             fleet(1, "free");
-            routers.getFirst().limitNamed("limited", PER_SECOND, 0);
+            routers.getFirst().limitAdvertised("limited", PER_SECOND, 0);
             routers.getFirst().targetSeen(new Target("limited", 0, SERVICE, "10.0.0.1", 80, "here", SLOTS, true, 0));
             run();
             assertThat(sentTo("limited"), lessThanOrEqualTo(allowed(PER_SECOND)));
@@ -215,28 +215,28 @@
 
         @Test
         void onlyAnAnswerToALaterCallEndsALimit() {
-            assertThat(router.limitNamed("limited", PER_SECOND, 100), is(true));
-            assertThat(router.limitNotNamed("limited", 99), is(false));
-            assertThat(router.limitNamed("limited", PER_SECOND, 200), is(false));
-            assertThat(router.limitNotNamed("limited", 150), is(false));
-            assertThat(router.limitNotNamed("limited", 200), is(true));
+            assertThat(router.limitAdvertised("limited", PER_SECOND, 100), is(true));
+            assertThat(router.limitNotAdvertised("limited", 99), is(false));
+            assertThat(router.limitAdvertised("limited", PER_SECOND, 200), is(false));
+            assertThat(router.limitNotAdvertised("limited", 150), is(false));
+            assertThat(router.limitNotAdvertised("limited", 200), is(true));
             assertThat(router.limits().isEmpty(), is(true));
         }
 
         @Test
         void changedRateIsReported() {
-            router.limitNamed("limited", PER_SECOND, 100);
-            assertThat(router.limitNamed("limited", 2 * PER_SECOND, 200), is(true));
+            router.limitAdvertised("limited", PER_SECOND, 100);
+            assertThat(router.limitAdvertised("limited", 2 * PER_SECOND, 200), is(true));
             assertThat(router.limits().getFirst(), is(new AdvertisedRate("limited", 2 * PER_SECOND, 200)));
         }
 
         @Test
         void invalidRatesAreUnreadable() {
-            assertThat(NamedLimit.parse(null), is(new NamedLimit.None()));
-            assertThat(NamedLimit.parse(" 2.4 "), is(new NamedLimit.PerSecond(2.4)));
-            assertThat(NamedLimit.parse("0"), is(new NamedLimit.PerSecond(0)));
+            assertThat(AdvertisedLimit.parse(null), is(new AdvertisedLimit.None()));
+            assertThat(AdvertisedLimit.parse(" 2.4 "), is(new AdvertisedLimit.PerSecond(2.4)));
+            assertThat(AdvertisedLimit.parse("0"), is(new AdvertisedLimit.PerSecond(0)));
             for (String text : List.of("", "-1", "NaN", "Infinity", "2,4", "many")) {
-                assertThat(NamedLimit.parse(text), is(new NamedLimit.Unreadable(text)));
+                assertThat(AdvertisedLimit.parse(text), is(new AdvertisedLimit.Unreadable(text)));
             }
         }
     }
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/PlacementTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/PlacementTest.java
@@ -109,8 +109,8 @@
         void prefersFasterTarget() {
             placement.targetSeen(target("slow", "here", true));
             placement.targetSeen(target("fast", "here", true));
-            placement.target("slow").orElseThrow().learnGap(300);
-            placement.target("fast").orElseThrow().learnGap(25);
+            placement.target("slow").orElseThrow().recordGap(300);
+            placement.target("fast").orElseThrow().recordGap(25);
             assertThat(fill(1).getFirst().target().info().id(), is("fast"));
         }
 
@@ -162,7 +162,7 @@
         void resetsPaceFailuresAndPause() {
             placement.targetSeen(started(1_000));
             TargetState previous = placement.target("a@1000").orElseThrow();
-            previous.learnGap(5_000);
+            previous.recordGap(5_000);
             placement.unreachable(previous, 10);
             placement.targetSeen(started(2_000));
             Verdict.Send sent = sent(placement.submit(call(1, 20), 20));
@@ -240,10 +240,10 @@
     @Nested
     class Queueing {
 
-        private Call timed(int rank, boolean returned, long onTimeUntilMs) {
+        private Call timed(int rank, boolean isRetry, long firstByteDeadlineMs) {
             return Call.of(SERVICE, 1_000)
-                    .rank(rank, returned)
-                    .times(onTimeUntilMs, 3_000)
+                    .rank(rank, isRetry)
+                    .times(firstByteDeadlineMs, 3_000)
                     .work(1, 1)
                     .build();
         }
@@ -430,7 +430,7 @@
             return Call.of(SERVICE, 0)
                     .rank(1, false)
                     .times(400, 1_000)
-                    .endsAt(10_000)
+                    .responseDeadline(10_000)
                     .work(600, events)
                     .build();
         }
@@ -439,8 +439,8 @@
             placement.targetSeen(target("slow", "here", true));
             placement.targetSeen(target("fast", "here", true));
             for (int i = 0; i < 50; i++) {
-                placement.target("slow").orElseThrow().learnGap(250);
-                placement.target("fast").orElseThrow().learnGap(25);
+                placement.target("slow").orElseThrow().recordGap(250);
+                placement.target("fast").orElseThrow().recordGap(25);
             }
             List<Verdict.Send> running = fill(SLOTS);
             running.forEach(s -> assertThat(s.target().info().id(), is("fast")));
@@ -496,8 +496,8 @@
             placement.targetSeen(target("fast", "here", true));
             for (int i = 0; i < 50; i++) {
                 placement.target("slow").orElseThrow().learnFirstByte(1_100, 10_000);
-                placement.target("slow").orElseThrow().learnGap(100);
-                placement.target("fast").orElseThrow().learnGap(20);
+                placement.target("slow").orElseThrow().recordGap(100);
+                placement.target("fast").orElseThrow().recordGap(20);
                 placement.target("fast").orElseThrow().learnFirstByte(200, 10_000);
             }
             fill(SLOTS).forEach(s -> assertThat(s.target().info().id(), is("fast")));
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/RegistryReadsTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/RegistryReadsTest.java
@@ -20,20 +20,20 @@
 
     @Test
     void slowAnswerIsNoOutage() {
-        reads.passedOn(28_270);
-        assertThat(reads.wasAway(29_718), is(false));
+        reads.readCompleted(28_270);
+        assertThat(reads.wasUnavailable(29_718), is(false));
     }
 
     @Test
     void gapLongerThanRegistrationTtlIsAnOutage() {
-        reads.passedOn(1_000);
-        assertThat(reads.wasAway(3_500), is(true));
-        reads.passedOn(3_500);
-        assertThat(reads.wasAway(4_400), is(false));
+        reads.readCompleted(1_000);
+        assertThat(reads.wasUnavailable(3_500), is(true));
+        reads.readCompleted(3_500);
+        assertThat(reads.wasUnavailable(4_400), is(false));
     }
 
     @Test
     void noOutageBeforeFirstRead() {
-        assertThat(reads.wasAway(60_000), is(false));
+        assertThat(reads.wasUnavailable(60_000), is(false));
     }
 }
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/place/AnswerLengthsTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/place/ResponseLengthEstimatorTest.java
@@ -9,11 +9,11 @@
 import static org.hamcrest.Matchers.greaterThan;
 import static org.hamcrest.Matchers.is;
 
-class AnswerLengthsTest {
+class ResponseLengthEstimatorTest {
 
     private static final int TOKENS_PER_EVENT = 5;
 
-    private final AnswerLengths lengths = new AnswerLengths();
+    private final ResponseLengthEstimator lengths = new ResponseLengthEstimator();
 
     @Test
     void usesRouteAverageWithoutCallerEstimate() {
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/AnswerHead.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/AnswerHead.java
@@ -1,6 +1,6 @@
 package org.onyxhinge.router.forward;
 
-import org.onyxhinge.core.place.NamedLimit;
+import org.onyxhinge.core.place.AdvertisedLimit;
 
 /**
  * What the head of a target's answer says.
@@ -11,7 +11,7 @@
  * @param trusted it bears a target's signature and is in the form that was asked for
  * @param limit what it says of the target's rate limit
  */
-public record AnswerHead(int status, boolean notRun, boolean foreign, boolean trusted, NamedLimit limit) {
+public record AnswerHead(int status, boolean notRun, boolean foreign, boolean trusted, AdvertisedLimit limit) {
 
     /** True for a 2xx status. */
     public boolean success() {
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Attempt.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Attempt.java
@@ -7,8 +7,8 @@
 import io.vertx.core.http.HttpClientResponse;
 import io.vertx.core.http.HttpMethod;
 import io.vertx.core.http.RequestOptions;
+import org.onyxhinge.core.place.AdvertisedLimit;
 import org.onyxhinge.core.place.Call;
-import org.onyxhinge.core.place.NamedLimit;
 import org.onyxhinge.core.place.TargetState;
 import org.onyxhinge.core.quarantine.RequestFingerprint;
 import org.onyxhinge.wire.MonotonicClock;
@@ -56,7 +56,7 @@
         RequestFingerprint fingerprint();
 
         /** Hears what the head of the answer says of the target's rate limit. */
-        void limitNamed(NamedLimit limit);
+        void limitNamed(AdvertisedLimit limit);
 
         /** No byte was sent; it has not run. */
         void unsent(Attempt attempt, String why);
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallPlan.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallPlan.java
@@ -57,12 +57,12 @@
     }
 
     long leftMs() {
-        return times.endsAtMs() - MonotonicClock.nowMs();
+        return times.responseDeadlineMs() - MonotonicClock.nowMs();
     }
 
     /** True while another target could still answer. */
     boolean timeForAnother() {
-        return leftMs() >= CallTimes.LEAST_TIME_MS;
+        return leftMs() >= CallTimes.MIN_REMAINING_MS;
     }
 
     /**
@@ -75,9 +75,9 @@
     Call call(Set<String> tried, boolean begun, long expectedEvents) {
         boolean model = config.service(service).map(TargetService::modelEngine).orElse(false);
         return Call.of(service, arrivedAtMs)
-                .rank(rank(), times.returned())
-                .times(times.onTimeUntilMs(), begun ? times.endsAtMs() : times.holdUntilMs())
-                .endsAt(times.endsAtMs())
+                .rank(rank(), times.isRetry())
+                .times(times.firstByteDeadlineMs(), begun ? times.responseDeadlineMs() : times.queueDeadlineMs())
+                .responseDeadline(times.responseDeadlineMs())
                 .gapTarget(route.gapTargetMs())
                 .work(model ? head.promptTokens() : 0, model ? expectedEvents : 0)
                 .avoid(tried)
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Exchange.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Exchange.java
@@ -8,8 +8,8 @@
 import io.vertx.core.http.HttpClientResponse;
 import io.vertx.core.http.HttpServerRequest;
 import io.vertx.core.http.RequestOptions;
+import org.onyxhinge.core.place.AdvertisedLimit;
 import org.onyxhinge.core.place.Call;
-import org.onyxhinge.core.place.NamedLimit;
 import org.onyxhinge.core.place.TargetState;
 import org.onyxhinge.core.place.Verdict;
 import org.onyxhinge.core.quarantine.RequestFingerprint;
@@ -242,11 +242,11 @@
     }
 
     @Override
-    public void limitNamed(NamedLimit limit) {
+    public void limitNamed(AdvertisedLimit limit) {
         switch (limit) {
-            case NamedLimit.None n -> record.limitPerSecond = -1;
-            case NamedLimit.PerSecond p -> record.limitPerSecond = p.perSecond();
-            case NamedLimit.Unreadable u -> record.note("limit", "unreadable " + u.text());
+            case AdvertisedLimit.None n -> record.limitPerSecond = -1;
+            case AdvertisedLimit.PerSecond p -> record.limitPerSecond = p.perSecond();
+            case AdvertisedLimit.Unreadable u -> record.note("limit", "unreadable " + u.text());
         }
     }
 
@@ -369,7 +369,7 @@
         Set<String> tried = new HashSet<>(tries.avoid());
         tried.add(a.target().incarnation());
         boolean goesOn = !over
-                && forwarder.placement().takesNow(call(tried), MonotonicClock.nowMs())
+                && forwarder.placement().canSendNow(call(tried), MonotonicClock.nowMs())
                 && tries.mayRepeat(plan, forwarder);
         if (goesOn) {
             a.cancel();
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Forwarder.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Forwarder.java
@@ -20,11 +20,11 @@
 import io.vertx.core.json.JsonObject;
 import org.jboss.logging.Logger;
 import org.onyxhinge.core.limit.RetryBudget;
-import org.onyxhinge.core.place.AnswerLengths;
 import org.onyxhinge.core.place.Call;
 import org.onyxhinge.core.place.CallerDeadlines;
 import org.onyxhinge.core.place.Placement;
 import org.onyxhinge.core.place.PlacementSettings;
+import org.onyxhinge.core.place.ResponseLengthEstimator;
 import org.onyxhinge.core.place.TargetState;
 import org.onyxhinge.core.quarantine.RequestFingerprint;
 import org.onyxhinge.core.route.ForwardingConfig;
@@ -57,7 +57,7 @@
     private final RetryBudget retries;
     private final Freshness freshness;
     private final ConfigInForce config;
-    private final AnswerLengths lengths = new AnswerLengths();
+    private final ResponseLengthEstimator lengths = new ResponseLengthEstimator();
     private final CallerDeadlines deadlines = CallerDeadlines.create();
     private final TargetConnections connections;
     private final Set<Attempt> attempts = new HashSet<>();
@@ -361,7 +361,7 @@
         return freshness;
     }
 
-    AnswerLengths lengths() {
+    ResponseLengthEstimator lengths() {
         return lengths;
     }
 
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/HeardRouters.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/HeardRouters.java
@@ -10,7 +10,7 @@
 /** What each other router last said, and whether it still speaks. */
 final class HeardRouters {
 
-    /** Three of {@link org.onyxhinge.core.place.PeerCadence#SIGN_OF_LIFE_MS} missed, and one on its way. */
+    /** Three of {@link org.onyxhinge.core.place.PeerUpdateSchedule#PEER_HEARTBEAT_MS} missed, and one on its way. */
     static final long SILENT_MS = 1_500;
 
     private static final Logger LOG = Logger.getLogger(HeardRouters.class);
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Intake.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Intake.java
@@ -4,7 +4,7 @@
 
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
-import org.onyxhinge.core.place.BeginQueue;
+import org.onyxhinge.core.place.IntakeQueue;
 import org.onyxhinge.wire.MonotonicClock;
 
 /**
@@ -25,7 +25,7 @@
     private final Vertx vertx;
     private final Context context;
     private final ForwardingMetrics metrics;
-    private final BeginQueue<Exchange> queue = BeginQueue.create();
+    private final IntakeQueue<Exchange> queue = IntakeQueue.create();
     private boolean scheduled;
 
     Intake(Vertx vertx, Context context, ForwardingMetrics metrics) {
@@ -37,11 +37,11 @@
     /** Takes a request in whose head has been checked. */
     void offer(Exchange exchange, CallPlan plan) {
         long waitMs = queue.expectedWaitMs(plan.rank());
-        if (MonotonicClock.nowMs() + waitMs > plan.times().holdUntilMs()) {
+        if (MonotonicClock.nowMs() + waitMs > plan.times().queueDeadlineMs()) {
             exchange.refuseStarved(waitMs);
             return;
         }
-        queue.add(exchange, plan.rank(), plan.times().holdUntilMs());
+        queue.add(exchange, plan.rank(), plan.times().queueDeadlineMs());
         if (!scheduled) {
             scheduled = true;
             context.runOnContext(v -> turn());
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/LimitedTargets.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/LimitedTargets.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 import org.jboss.logging.Logger;
-import org.onyxhinge.core.place.NamedLimit;
+import org.onyxhinge.core.place.AdvertisedLimit;
 import org.onyxhinge.core.place.Placement;
 import org.onyxhinge.core.place.TargetState;
 import org.onyxhinge.wire.MonotonicClock;
@@ -42,19 +42,19 @@
         }
         String incarnation = target.incarnation();
         switch (head.limit()) {
-            case NamedLimit.PerSecond p -> named(incarnation, p.perSecond());
-            case NamedLimit.None n -> {
+            case AdvertisedLimit.PerSecond p -> named(incarnation, p.perSecond());
+            case AdvertisedLimit.None n -> {
                 if (head.trusted()) {
                     notNamed(incarnation, sentAtMs);
                 }
             }
-            case NamedLimit.Unreadable u ->
+            case AdvertisedLimit.Unreadable u ->
                 LOG.warnf("target limit unreadable incarnation=%s text=\"%s\"", incarnation, u.text());
         }
     }
 
     private void named(String incarnation, double perSecond) {
-        if (placement.limitNamed(incarnation, perSecond, MonotonicClock.nowMs())) {
+        if (placement.limitAdvertised(incarnation, perSecond, MonotonicClock.nowMs())) {
             metrics.event("targets.limited");
             LOG.infof("target limited incarnation=%s perSecond=%s", incarnation, perSecond);
             tell(new PeerMessage.LimitedAgo(incarnation, true, perSecond, 0));
@@ -62,7 +62,7 @@
     }
 
     private void notNamed(String incarnation, long sentAtMs) {
-        if (placement.limitNotNamed(incarnation, sentAtMs)) {
+        if (placement.limitNotAdvertised(incarnation, sentAtMs)) {
             LOG.infof("target limit over incarnation=%s", incarnation);
             tell(new PeerMessage.LimitedAgo(incarnation, false, 0, MonotonicClock.nowMs() - sentAtMs));
         }
@@ -78,8 +78,8 @@
         for (PeerMessage.LimitedAgo l : message.limits()) {
             long atMs = nowMs - l.agoMs();
             boolean news = l.named()
-                    ? placement.limitNamed(l.incarnation(), l.perSecond(), atMs)
-                    : placement.limitNotNamed(l.incarnation(), atMs);
+                    ? placement.limitAdvertised(l.incarnation(), l.perSecond(), atMs)
+                    : placement.limitNotAdvertised(l.incarnation(), atMs);
             if (news) {
                 LOG.infof(
                         "target limit heard incarnation=%s named=%b perSecond=%s agoMs=%d",
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeerLink.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeerLink.java
@@ -9,8 +9,8 @@
 
 import io.vertx.core.net.NetClient;
 import org.jboss.logging.Logger;
-import org.onyxhinge.core.place.PeerCadence;
-import org.onyxhinge.core.place.PeerNews;
+import org.onyxhinge.core.place.PeerUpdate;
+import org.onyxhinge.core.place.PeerUpdateSchedule;
 import org.onyxhinge.core.place.TargetUse;
 import org.onyxhinge.runtime.HostPort;
 import org.onyxhinge.wire.MonotonicClock;
@@ -39,7 +39,7 @@
     private long refusedAtMs = -REFUSED_MS;
     private boolean whole = true;
     private long sentAtMs;
-    private State sent = new State(PeerNews.none(), Map.of());
+    private State sent = new State(PeerUpdate.none(), Map.of());
 
     /**
      * What the router was told, or is to be told.
@@ -47,7 +47,7 @@
      * @param news this router's calls
      * @param totals units each workspace has used here since the start
      */
-    record State(PeerNews news, Map<String, Long> totals) {}
+    record State(PeerUpdate news, Map<String, Long> totals) {}
 
     /**
      * A link that is not made yet.
@@ -131,8 +131,8 @@
      * @param windows units all routers let through in the quota window, told with a whole message only
      */
     void send(String ownId, long life, State now, Supplier<Map<String, Long>> windows, long nowMs) {
-        boolean due = PeerCadence.isDue(now.news(), sent.news(), nowMs - sentAtMs);
-        boolean unitsUsed = now.news().near() && !now.totals().equals(sent.totals());
+        boolean due = PeerUpdateSchedule.isDue(now.news(), sent.news(), nowMs - sentAtMs);
+        boolean unitsUsed = now.news().sameGroup() && !now.totals().equals(sent.totals());
         if (!whole && !due && !unitsUsed) {
             return;
         }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeersSide.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeersSide.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.function.Function;
 
-import org.onyxhinge.core.place.PeerNews;
+import org.onyxhinge.core.place.PeerUpdate;
 import org.onyxhinge.core.place.Placement;
 import org.onyxhinge.core.place.SlotRequest;
 import org.onyxhinge.core.route.ForwardingConfig;
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public Function<String, PeerNews> news() {
+    public Function<String, PeerUpdate> news() {
         return placement.news(MonotonicClock.nowMs())::forRouter;
     }
 
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/RouterPeers.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/RouterPeers.java
@@ -13,8 +13,8 @@
 import io.vertx.core.net.NetClientOptions;
 import io.vertx.core.net.NetServerOptions;
 import org.jboss.logging.Logger;
-import org.onyxhinge.core.place.PeerCadence;
-import org.onyxhinge.core.place.PeerNews;
+import org.onyxhinge.core.place.PeerUpdate;
+import org.onyxhinge.core.place.PeerUpdateSchedule;
 import org.onyxhinge.core.place.SlotRequest;
 import org.onyxhinge.runtime.HostPort;
 import org.onyxhinge.wire.MonotonicClock;
@@ -61,7 +61,7 @@
     interface Side {
 
         /** What each other router, by its id, is to be told of this one's calls now. */
-        Function<String, PeerNews> news();
+        Function<String, PeerUpdate> news();
 
         /** Routers that are to be told at once what this one does. */
         int nearRouters();
@@ -124,7 +124,7 @@
                 .connectHandler(socket -> PeerConnection.attach(socket, peers.traffic, peers::received, () -> {}))
                 .listen(settings.peerPort(), settings.peerHost())
                 .map(server -> {
-                    peers.scheduleBeat(PeerCadence.intervalMs(0, false));
+                    peers.scheduleBeat(PeerUpdateSchedule.intervalMs(0, false));
                     return peers;
                 });
     }
@@ -212,7 +212,7 @@
 
     /** Notes that a call waits: peers that have room are told of it sooner than usual. */
     void callsWait() {
-        long inMs = PeerCadence.intervalMs(side.nearRouters(), true);
+        long inMs = PeerUpdateSchedule.intervalMs(side.nearRouters(), true);
         if (beatDueMs - MonotonicClock.nowMs() > inMs) {
             vertx.cancelTimer(beatTimer);
             scheduleBeat(inMs);
@@ -222,7 +222,7 @@
     private void scheduleBeat(long inMs) {
         beatDueMs = MonotonicClock.nowMs() + inMs;
         beatTimer = vertx.setTimer(inMs, t -> {
-            scheduleBeat(PeerCadence.intervalMs(side.nearRouters(), side.callsWait()));
+            scheduleBeat(PeerUpdateSchedule.intervalMs(side.nearRouters(), side.callsWait()));
             beat();
         });
     }
@@ -234,7 +234,7 @@
         if (links.isEmpty()) {
             return;
         }
-        Function<String, PeerNews> news = side.news();
+        Function<String, PeerUpdate> news = side.news();
         Map<String, Long> totals = side.totals();
         links.forEach((id, link) -> {
             if (!heard.speaks(id, nowMs)) {
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/StreamProgress.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/StreamProgress.java
@@ -48,7 +48,7 @@
             int more = splitter.events() - before;
             long nowMs = MonotonicClock.nowMs();
             if (lastEventAtMs > 0) {
-                target.learnGap((double) (nowMs - lastEventAtMs) / Math.max(1, more));
+                target.recordGap((double) (nowMs - lastEventAtMs) / Math.max(1, more));
                 longestGapMs = Math.max(longestGapMs, nowMs - lastEventAtMs);
             }
             lastEventAtMs = nowMs;
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/OnyxCallProtocol.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/OnyxCallProtocol.java
@@ -7,7 +7,7 @@
 import io.vavr.control.Either;
 import io.vertx.core.MultiMap;
 import io.vertx.core.http.HttpServerRequest;
-import org.onyxhinge.core.place.NamedLimit;
+import org.onyxhinge.core.place.AdvertisedLimit;
 import org.onyxhinge.router.forward.AnswerHead;
 import org.onyxhinge.router.forward.CallHead;
 import org.onyxhinge.router.forward.CallProtocol;
@@ -92,6 +92,6 @@
         String echoed = headers.get(REQUEST_ID);
         boolean foreign = echoed != null && !echoed.equals(requestId);
         boolean notRun = headers.contains(NOT_RUN) || status == MISDIRECTED;
-        return new AnswerHead(status, notRun, foreign, true, NamedLimit.parse(headers.get(RATE_LIMIT)));
+        return new AnswerHead(status, notRun, foreign, true, AdvertisedLimit.parse(headers.get(RATE_LIMIT)));
     }
 }
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/RouterPeersTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/RouterPeersTest.java
@@ -17,8 +17,8 @@
 import io.vertx.core.Vertx;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import org.onyxhinge.core.place.PeerCadence;
-import org.onyxhinge.core.place.PeerNews;
+import org.onyxhinge.core.place.PeerUpdate;
+import org.onyxhinge.core.place.PeerUpdateSchedule;
 import org.onyxhinge.core.place.SlotRequest;
 import org.onyxhinge.core.place.TargetUse;
 import org.onyxhinge.core.quarantine.RequestFingerprint;
@@ -68,8 +68,9 @@
         }
 
         @Override
-        public Function<String, PeerNews> news() {
-            return router -> new PeerNews(near, Map.copyOf(uses), Map.copyOf(waiting), Map.of(), Set.copyOf(borrowed));
+        public Function<String, PeerUpdate> news() {
+            return router ->
+                    new PeerUpdate(near, Map.copyOf(uses), Map.copyOf(waiting), Map.of(), Set.copyOf(borrowed));
         }
 
         @Override
@@ -269,12 +270,12 @@
     /** 6, 21 and 410 routers: what each sends stays bounded, and in the largest fleet nobody is taken for silent. */
     @Test
     void aLargerFleetSpeaksLessOftenButNeverFallsSilent() {
-        assertThat(PeerCadence.intervalMs(5, false), is(60L));
-        assertThat(PeerCadence.intervalMs(5, true), is(20L));
-        assertThat(PeerCadence.intervalMs(20, false), is(240L));
-        assertThat(PeerCadence.intervalMs(20, true), is(80L));
-        assertThat(PeerCadence.intervalMs(409, false) * 3 < HeardRouters.SILENT_MS, is(true));
-        assertThat(PeerCadence.intervalMs(409, true) * 3 < HeardRouters.SILENT_MS, is(true));
+        assertThat(PeerUpdateSchedule.intervalMs(5, false), is(60L));
+        assertThat(PeerUpdateSchedule.intervalMs(5, true), is(20L));
+        assertThat(PeerUpdateSchedule.intervalMs(20, false), is(240L));
+        assertThat(PeerUpdateSchedule.intervalMs(20, true), is(80L));
+        assertThat(PeerUpdateSchedule.intervalMs(409, false) * 3 < HeardRouters.SILENT_MS, is(true));
+        assertThat(PeerUpdateSchedule.intervalMs(409, true) * 3 < HeardRouters.SILENT_MS, is(true));
     }
 
     /** Of another group a router is told at once what it lent, and all else with the next sign of life. */
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/PeerTalk.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/PeerTalk.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Map;
 
-import org.onyxhinge.core.place.NewsForPeers;
-import org.onyxhinge.core.place.PeerCadence;
-import org.onyxhinge.core.place.PeerNews;
+import org.onyxhinge.core.place.PeerUpdate;
+import org.onyxhinge.core.place.PeerUpdateSchedule;
+import org.onyxhinge.core.place.PeerUpdates;
 
 /** What one simulated router tells the others, as often as a real one does. */
 final class PeerTalk {
@@ -20,7 +20,7 @@
     private final Map<String, Told> told = new HashMap<>();
     private double beatAtMs;
 
-    private record Told(double atMs, PeerNews news) {}
+    private record Told(double atMs, PeerUpdate news) {}
 
     PeerTalk(VirtualTime time, ProductRouter from, List<ProductRouter> all) {
         this.time = time;
@@ -35,17 +35,17 @@
                 .ifPresent(request -> others.stream()
                         .filter(r -> r.id().equals(request.router()))
                         .forEach(r -> time.after(DELAY_MS, () -> r.slotsWanted(from.id(), request))));
-        long intervalMs = PeerCadence.intervalMs(
+        long intervalMs = PeerUpdateSchedule.intervalMs(
                 from.placement().nearRouters(), from.placement().callsWait());
         if (time.nowMs() < beatAtMs + intervalMs) {
             return;
         }
         beatAtMs = time.nowMs();
-        NewsForPeers news = from.placement().news(time.wholeMs());
+        PeerUpdates news = from.placement().news(time.wholeMs());
         for (ProductRouter to : others) {
-            PeerNews now = news.forRouter(to.id());
-            Told before = told.getOrDefault(to.id(), new Told(Double.NEGATIVE_INFINITY, PeerNews.none()));
-            if (PeerCadence.isDue(now, before.news(), time.nowMs() - before.atMs())) {
+            PeerUpdate now = news.forRouter(to.id());
+            Told before = told.getOrDefault(to.id(), new Told(Double.NEGATIVE_INFINITY, PeerUpdate.none()));
+            if (PeerUpdateSchedule.isDue(now, before.news(), time.nowMs() - before.atMs())) {
                 told.put(to.id(), new Told(time.nowMs(), now));
                 time.after(DELAY_MS, () -> to.heard(from.id(), now));
             }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/ProductRouter.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/ProductRouter.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 
-import org.onyxhinge.core.place.AnswerLengths;
 import org.onyxhinge.core.place.Call;
 import org.onyxhinge.core.place.CallTimes;
 import org.onyxhinge.core.place.CallerDeadlines;
 import org.onyxhinge.core.place.Mechanism;
-import org.onyxhinge.core.place.PeerNews;
+import org.onyxhinge.core.place.PeerUpdate;
 import org.onyxhinge.core.place.Placement;
 import org.onyxhinge.core.place.PlacementSettings;
+import org.onyxhinge.core.place.ResponseLengthEstimator;
 import org.onyxhinge.core.place.SlotRequest;
 import org.onyxhinge.core.place.TargetState;
 import org.onyxhinge.core.place.Verdict;
@@ -35,7 +35,7 @@
     private final PlacementSettings settings;
     private final Placement placement;
     private final Map<String, SimEngine> engines = new HashMap<>();
-    private final AnswerLengths lengths = new AnswerLengths();
+    private final ResponseLengthEstimator lengths = new ResponseLengthEstimator();
     private final CallerDeadlines deadlines = CallerDeadlines.create();
     private final Map<Call, SimTry> waiting = new IdentityHashMap<>();
     private final Map<SimTry, Flight> flights = new IdentityHashMap<>();
@@ -106,7 +106,7 @@
     }
 
     /** Notes what a peer says of its calls. */
-    void heard(String peer, PeerNews news) {
+    void heard(String peer, PeerUpdate news) {
         placement.peerUses(peer, news.uses());
         placement.peerWaiting(peer, news.waiting());
         placement.peerRates(peer, news.rates());
@@ -143,9 +143,9 @@
         RequestKind kind = t.kind();
         CallTimes due = times.get(t);
         Call call = Call.of(SERVICE, time.wholeMs())
-                .rank(t.rank(), due.returned())
-                .times(due.onTimeUntilMs(), due.holdUntilMs())
-                .endsAt(due.endsAtMs())
+                .rank(t.rank(), due.isRetry())
+                .times(due.firstByteDeadlineMs(), due.queueDeadlineMs())
+                .responseDeadline(due.responseDeadlineMs())
                 .gapTarget(kind.gapTargetMs())
                 .work(t.promptTokens(), lengths.expectedEvents(kind.name(), t.expectedTokens()))
                 .avoid(avoid)
@@ -218,7 +218,7 @@
                     limitRead(flight);
                     placement.firstByte(flight.call, flight.target, nowMs - flight.sentAtMs, flight.tokensToRead);
                 } else {
-                    flight.target.learnGap(nowMs - flight.heardAtMs);
+                    flight.target.recordGap(nowMs - flight.heardAtMs);
                 }
                 flight.heardAtMs = nowMs;
                 t.hears().event();
@@ -251,8 +251,8 @@
     /** Takes in what an answer said of a rate limit; true when that is news. */
     boolean limitHeard(String incarnation, OptionalDouble limit, long atMs) {
         return limit.isPresent()
-                ? placement.limitNamed(incarnation, limit.getAsDouble(), atMs)
-                : placement.limitNotNamed(incarnation, atMs);
+                ? placement.limitAdvertised(incarnation, limit.getAsDouble(), atMs)
+                : placement.limitNotAdvertised(incarnation, atMs);
     }
 
     private void end(SimTry t, Flight flight) {
