--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/chart/Machine.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/chart/Machine.java
@@ -3,8 +3,8 @@
 import org.onyxhinge.core.schedule.Invariants;
 
 /**
- * One running instance of a {@link StateChart}. Not thread-safe. A step the chart does not allow
- * throws {@link IllegalStateException} and leaves the state as it was.
+ * One running instance of a {@link StateChart}. Not thread-safe. A transition that the chart does not allow throws
+ * {@link IllegalStateException} and leaves the state unchanged.
  */
 public final class Machine {
 
@@ -18,7 +18,7 @@
         this.state = chart.initial();
     }
 
-    /** Starts a machine in the chart's initial state; {@code subject} names it in errors. */
+    /** Starts a state machine in the chart's initial state; {@code subject} identifies it in error messages. */
     public static Machine start(StateChart chart, String subject) {
         return new Machine(chart, subject);
     }
@@ -28,12 +28,12 @@
         return state;
     }
 
-    /** True when the machine has reached a final state. */
+    /** True when the state machine has reached a final state. */
     public boolean done() {
         return chart.isFinal(state);
     }
 
-    /** Takes the step for {@code event}; throws when the chart does not allow it. */
+    /** Performs the transition for {@code event}; throws when the chart does not allow it. */
     public String fire(String event) {
         String next = chart.next(state, event).orElse(null);
         Invariants.check(next != null, chart.name() + " allows " + event + " in " + state, subject);
@@ -45,7 +45,7 @@
         return next;
     }
 
-    /** Takes the step when the chart allows it; returns false otherwise. */
+    /** Performs the transition when the chart allows it; returns false otherwise. */
     public boolean tryFire(String event) {
         String next = chart.next(state, event).orElse(null);
         if (next == null) {
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/chart/StateChart.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/chart/StateChart.java
@@ -13,15 +13,15 @@
 /**
  * A finite state machine read from an INI file (see the package comment for the layout). Immutable.
  *
- * @param name the chart's name, for messages
- * @param initial the state a new machine starts in
+ * @param name the chart's name, for error messages
+ * @param initial the initial state
  * @param transitions next state by state and event
  */
 public record StateChart(String name, String initial, Map<String, Map<String, String>> transitions) {
 
     private static final String HEADER = "chart";
 
-    /** Checks that every target state is declared and copies the maps. */
+    /** Checks that every state a transition leads to is declared, and copies the map. */
     public StateChart {
         transitions = Map.copyOf(transitions);
         for (Map.Entry<String, Map<String, String>> e : transitions.entrySet()) {
@@ -67,13 +67,13 @@
         return new StateChart(name, header.get("initial"), transitions);
     }
 
-    /** The state after {@code event} in {@code state}, or empty when the chart allows no such step. */
+    /** The state after {@code event} in {@code state}, or empty when the chart has no such transition. */
     public Optional<String> next(String state, String event) {
         Map<String, String> out = transitions.get(state);
         return out == null ? Optional.empty() : Optional.ofNullable(out.get(event));
     }
 
-    /** True when no event leads out of {@code state}. */
+    /** True when {@code state} has no outgoing transitions. */
     public boolean isFinal(String state) {
         Map<String, String> out = transitions.get(state);
         return out != null && out.isEmpty();
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/engine/EngineModel.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/engine/EngineModel.java
@@ -7,17 +7,17 @@
 
 /**
  * An engine with continuous batching (Yu et al., "Orca", OSDI 2022) and chunked prefill (Agrawal et al.,
- * "Sarathi-Serve", OSDI 2024): requests are admitted in order of arrival, every step makes one token for each
- * request whose prompt has been read and reads a chunk of the next prompt. When memory runs out the newest
- * request is preempted. Time is the caller's: it lets the step's length pass before the next step.
+ * "Sarathi-Serve", OSDI 2024): requests are admitted in order of arrival; every step generates one token for each
+ * request whose prefill is complete and prefills a chunk of the next prompt. When memory runs out, the newest request
+ * is preempted. The caller controls time: it lets the duration of a step pass before the next step.
  */
 public final class EngineModel {
 
     private final EngineSpec spec;
     private final Deque<EngineRun> queue = new ArrayDeque<>();
     private final List<EngineRun> batch = new ArrayList<>();
-    private final KeptParts kept = new KeptParts();
-    private long promptTokensRead;
+    private final PromptCache cache = new PromptCache();
+    private long prefilledTokens;
 
     private EngineModel(EngineSpec spec) {
         this.spec = spec;
@@ -28,7 +28,7 @@
         return new EngineModel(spec);
     }
 
-    /** Takes a request; false when its queue is full and the request is not run. */
+    /** Submits a request; false when the queue is full and the request is not run. */
     public boolean submit(EngineRun run) {
         if (batch.size() + queue.size() >= spec.slots() + spec.queueLimit()) {
             return false;
@@ -37,7 +37,7 @@
         return true;
     }
 
-    /** Drops a request whose caller has left. */
+    /** Removes a request whose caller has disconnected. */
     public void cancel(EngineRun run) {
         queue.remove(run);
         batch.remove(run);
@@ -48,37 +48,38 @@
         return batch.size();
     }
 
-    /** Requests that wait for a slot. */
+    /** Requests waiting for a slot. */
     public int waiting() {
         return queue.size();
     }
 
-    /** Prompt tokens read since the start. */
-    public long promptTokensRead() {
-        return promptTokensRead;
+    /** Prompt tokens prefilled since the start. */
+    public long prefilledTokens() {
+        return prefilledTokens;
     }
 
-    /** Begins the next step; its events are due when its length has passed. */
+    /** Starts the next step; its events are due when its duration has passed. */
     public EngineStep step() {
         admit();
         if (batch.isEmpty()) {
             return EngineStep.IDLE;
         }
-        List<EngineRun> decoding = batch.stream().filter(run -> !run.reading()).toList();
-        double tookMs = readChunk();
+        List<EngineRun> decoding =
+                batch.stream().filter(run -> !run.prefilling()).toList();
+        double tookMs = prefillChunk();
         if (!decoding.isEmpty()) {
             tookMs += spec.stepMs() + spec.stepMsPerRun() * (decoding.size() - 1);
         }
         List<EngineRun> events = new ArrayList<>();
         List<EngineRun> ended = new ArrayList<>();
         for (EngineRun run : decoding) {
-            run.makeToken();
-            if (run.whole() || run.made() % spec.tokensPerEvent() == 1 || spec.tokensPerEvent() == 1) {
+            run.generateToken();
+            if (run.finished() || run.generatedTokens() % spec.tokensPerEvent() == 1 || spec.tokensPerEvent() == 1) {
                 events.add(run);
             }
-            if (run.whole()) {
+            if (run.finished()) {
                 ended.add(run);
-                kept.keep(run.prompt());
+                cache.add(run.prompt());
             }
         }
         batch.removeAll(ended);
@@ -89,27 +90,27 @@
     private void admit() {
         while (batch.size() < spec.slots() && !queue.isEmpty()) {
             EngineRun run = queue.poll();
-            run.begin(kept.kept(run.prompt()));
+            run.start(cache.cachedTokens(run.prompt()));
             batch.add(run);
         }
     }
 
-    /** Reads prompts in order of admission, a chunk in all; returns the time that takes. */
-    private double readChunk() {
-        int left = spec.chunkTokens();
+    /** Prefills prompts in order of admission, up to one chunk in total; returns the time that takes. */
+    private double prefillChunk() {
+        int budget = spec.chunkTokens();
         for (EngineRun run : batch) {
-            int chunk = Math.min(left, run.toRead());
-            run.read(chunk);
-            left -= chunk;
+            int chunk = Math.min(budget, run.remainingPromptTokens());
+            run.prefill(chunk);
+            budget -= chunk;
         }
-        int read = spec.chunkTokens() - left;
-        promptTokensRead += read;
-        return read / spec.prefillTokensPerMs();
+        int prefilled = spec.chunkTokens() - budget;
+        prefilledTokens += prefilled;
+        return prefilled / spec.prefillTokensPerMs();
     }
 
     private void freeMemory() {
         long used = usedTokens();
-        kept.shrinkTo(Math.max(0, spec.memoryTokens() - used));
+        cache.evictTo(Math.max(0, spec.memoryTokens() - used));
         while (used > spec.memoryTokens() && batch.size() > 1) {
             EngineRun newest = batch.removeLast();
             newest.preempt();
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/engine/EngineRun.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/engine/EngineRun.java
@@ -2,76 +2,79 @@
 
 import java.util.List;
 
-/** A request at an engine: what it asks for and how far it has come. */
+/** The execution state of one request at an engine. */
 public final class EngineRun {
 
     private final List<PromptPart> prompt;
     private final int promptTokens;
     private final int outputTokens;
-    private int toRead;
-    private int made;
-    private int readInVain;
+    private int remainingPromptTokens;
+    private int generatedTokens;
+    private int recomputedTokens;
 
     private EngineRun(List<PromptPart> prompt, int outputTokens) {
         this.prompt = List.copyOf(prompt);
         this.promptTokens = prompt.stream().mapToInt(PromptPart::tokens).sum();
         this.outputTokens = outputTokens;
-        this.toRead = promptTokens;
+        this.remainingPromptTokens = promptTokens;
     }
 
-    /** A request with a prompt that will make {@code outputTokens}, at least one. */
+    /** Creates a run of a prompt that generates {@code outputTokens}, at least one. */
     public static EngineRun of(List<PromptPart> prompt, int outputTokens) {
         return new EngineRun(prompt, Math.max(1, outputTokens));
     }
 
-    /** Output tokens made so far. */
-    public int made() {
-        return made;
+    /** Output tokens generated so far. */
+    public int generatedTokens() {
+        return generatedTokens;
     }
 
-    /** True once its last token is made. */
-    public boolean whole() {
-        return made >= outputTokens;
+    /** True once the last token has been generated. */
+    public boolean finished() {
+        return generatedTokens >= outputTokens;
     }
 
-    /** Prompt tokens read again because memory ran out under it. */
-    public int readInVain() {
-        return readInVain;
+    /** Tokens that had to be prefilled again because the request was preempted for lack of memory. */
+    public int recomputedTokens() {
+        return recomputedTokens;
     }
 
     List<PromptPart> prompt() {
         return prompt;
     }
 
-    int toRead() {
-        return toRead;
+    int remainingPromptTokens() {
+        return remainingPromptTokens;
     }
 
-    boolean reading() {
-        return toRead > 0;
+    boolean prefilling() {
+        return remainingPromptTokens > 0;
     }
 
-    /** Memory it takes now. */
+    /** Memory currently used, in tokens. */
     long memoryTokens() {
-        return (long) promptTokens - toRead + made;
+        return (long) promptTokens - remainingPromptTokens + generatedTokens;
     }
 
-    void begin(int keptTokens) {
-        toRead = Math.max(0, toRead - keptTokens);
+    void start(int cachedTokens) {
+        remainingPromptTokens = Math.max(0, remainingPromptTokens - cachedTokens);
     }
 
-    void read(int tokens) {
-        toRead -= tokens;
+    void prefill(int tokens) {
+        remainingPromptTokens -= tokens;
     }
 
-    void makeToken() {
-        made++;
+    void generateToken() {
+        generatedTokens++;
     }
 
-    /** Takes it out of the batch: its prompt and what it made must be read again before it goes on. */
+    /**
+     * Handles removal from the batch: the prompt and the generated tokens must be prefilled again before decoding
+     * continues.
+     */
     void preempt() {
         int held = (int) memoryTokens();
-        readInVain += held;
-        toRead += held;
+        recomputedTokens += held;
+        remainingPromptTokens += held;
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/engine/EngineSpec.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/engine/EngineSpec.java
@@ -1,16 +1,16 @@
 package org.onyxhinge.core.engine;
 
 /**
- * How fast and large an engine is.
+ * Speed and capacity of an engine.
  *
- * @param slots requests it works on at once
- * @param queueLimit requests it lets wait beyond those
- * @param stepMs time of a step that makes one token for a single request
- * @param stepMsPerRun time each further request in the batch adds to a step
- * @param prefillTokensPerMs prompt tokens it reads in a millisecond
- * @param chunkTokens most prompt tokens read in one step, so that prompts do not stall the other requests
- * @param tokensPerEvent output tokens in an event of a stream
- * @param memoryTokens tokens its memory holds, for running requests and kept prompt parts together
+ * @param slots maximum requests in a batch
+ * @param queueLimit maximum requests waiting beyond those
+ * @param stepMs duration of a decode step with a single request
+ * @param stepMsPerRun additional step duration for each further request in the batch
+ * @param prefillTokensPerMs prefill rate in prompt tokens per millisecond
+ * @param chunkTokens maximum prompt tokens prefilled in one step, so that long prompts do not stall the other requests
+ * @param tokensPerEvent output tokens per stream event
+ * @param memoryTokens memory capacity in tokens, shared by running requests and cached prompt parts
  */
 public record EngineSpec(
         int slots,
@@ -40,7 +40,7 @@
         }
     }
 
-    /** The same engine, {@code factor} times as slow in all it does. */
+    /** The same engine slowed down by {@code factor} in all operations. */
     public EngineSpec slower(double factor) {
         return new EngineSpec(
                 slots,
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/engine/EngineStep.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/engine/EngineStep.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What one step of an engine brings at its end.
+ * The result of one engine step.
  *
- * @param tookMs its length; 0 when the engine has nothing to do
- * @param events requests that send an event: their first token, a full event or their last token
- * @param ended requests that are whole
+ * @param tookMs duration of the step; 0 when the engine is idle
+ * @param events requests that emit a stream event: for their first token, a full event or their last token
+ * @param ended requests that have finished
  */
 public record EngineStep(double tookMs, List<EngineRun> events, List<EngineRun> ended) {
 
-    /** No work. */
+    /** Step of an idle engine. */
     static final EngineStep IDLE = new EngineStep(0, List.of(), List.of());
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/engine/KeptParts.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/engine/PromptCache.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Prompt parts that an engine still holds from earlier requests; the least recently used yield first. */
-final class KeptParts {
+/** Prompt parts cached from earlier requests, with least-recently-used eviction. */
+final class PromptCache {
 
     private final LinkedHashMap<Long, Integer> tokensById = new LinkedHashMap<>(16, 0.75f, true);
     private long tokens;
 
-    /** Tokens at the start of a prompt that need not be read, up to the first part that is not held. */
-    int kept(List<PromptPart> prompt) {
+    /** Number of tokens at the start of a prompt that need no prefill, up to the first part that is not cached. */
+    int cachedTokens(List<PromptPart> prompt) {
         int found = 0;
         for (PromptPart part : prompt) {
             if (tokensById.get(part.id()) == null) {
@@ -23,17 +23,17 @@
         return found;
     }
 
-    void keep(List<PromptPart> prompt) {
+    void add(List<PromptPart> prompt) {
         for (PromptPart part : prompt) {
             Integer before = tokensById.put(part.id(), part.tokens());
             tokens += part.tokens() - (before == null ? 0 : before);
         }
     }
 
-    /** Drops parts until at most {@code most} tokens are held. */
-    void shrinkTo(long most) {
+    /** Evicts parts until at most {@code maxTokens} tokens are cached. */
+    void evictTo(long maxTokens) {
         Iterator<Map.Entry<Long, Integer>> eldest = tokensById.entrySet().iterator();
-        while (tokens > most && eldest.hasNext()) {
+        while (tokens > maxTokens && eldest.hasNext()) {
             tokens -= eldest.next().getValue();
             eldest.remove();
         }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/engine/package-info.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/engine/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A model of a model engine, with no network and no clock: what the experiments on placement run against,
- * and what a router's predictions are compared with.
+ * A simulated model engine without network or clock, used by the placement experiments and as a reference for a
+ * router's predictions.
  */
 package org.onyxhinge.core.engine;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/PastUse.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/PastUse.java
@@ -1,41 +1,43 @@
 package org.onyxhinge.core.limit;
 
-/** What a router knows, when it begins to count a quota, of what was used in the window before. */
+/** What a router knows, when it starts to count a quota, about usage in the preceding window. */
 public sealed interface PastUse {
 
-    /** Nothing was used that is not known here. */
+    /** No usage other than what this router counts itself. */
     record None() implements PastUse {}
 
-    /** Nothing is known: the router has just started. */
+    /** Nothing is known because the router has just started. */
     record Unknown() implements PastUse {}
 
     /**
-     * All that was used until a moment is known, from a record that outlasts the routers.
+     * All usage up to some time is known from a record that outlives the routers.
      *
-     * @param units what was used in the window that ended at that moment
-     * @param agoMs how long ago that was
-     * @param unseenMs the part of that time in which other routers may have let calls through that nobody will tell of
-     * @param toleratedUnits what of that may go uncounted: a part of what operators tolerate beyond a limit
+     * @param units usage in the window that ended at that time
+     * @param elapsedMs time since then
+     * @param unobservedMs the part of that time in which other routers may have admitted calls that no one will report
+     * @param toleratedUnits units that may go uncounted: a part of the overrun that operators tolerate beyond a limit
      */
-    record Recorded(long units, long agoMs, long unseenMs, long toleratedUnits) implements PastUse {}
+    record Recorded(long units, long elapsedMs, long unobservedMs, long toleratedUnits) implements PastUse {}
 
-    /** VMs' time of day differs by less, also where it has been stepped on one of them. */
-    long MOST_CLOCK_ERROR_MS = 3_000;
+    /** Upper bound on the wall-clock skew between VMs, including a clock step on one of them. */
+    long MAX_CLOCK_SKEW_MS = 3_000;
 
     /**
-     * What a record says that another VM wrote. Where it seems to be of the future, one of the two clocks has been
-     * stepped: nothing in it is taken to have left the window yet, and the time since then is taken at its longest.
+     * Interprets a record that another VM wrote. A record that appears to be from the future means that one of the two
+     * clocks was stepped: then none of its usage is assumed to have left the window yet, and the unobserved time is
+     * assumed to be the maximum.
      *
-     * @param units what was used in the window before it was written
-     * @param ageMs its age when it was read, by the reader's time of day; negative where that is behind the writer's
-     * @param sinceMs time since it was read
+     * @param units usage in the window before the record was written
+     * @param ageMs age of the record when it was read, by the reader's wall clock; negative where that is behind the
+     *     writer's
+     * @param sinceMs time since the record was read
      */
     static PastUse recorded(long units, long ageMs, long sinceMs, long windowMs, long toleratedUnits) {
-        if (ageMs < -MOST_CLOCK_ERROR_MS || ageMs >= windowMs) {
+        if (ageMs < -MAX_CLOCK_SKEW_MS || ageMs >= windowMs) {
             return new Unknown();
         }
         return ageMs < 0
-                ? new Recorded(units, sinceMs, MOST_CLOCK_ERROR_MS, toleratedUnits)
+                ? new Recorded(units, sinceMs, MAX_CLOCK_SKEW_MS, toleratedUnits)
                 : new Recorded(units, ageMs + sinceMs, ageMs, toleratedUnits);
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/QuotaState.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/QuotaState.java
@@ -1,11 +1,11 @@
 package org.onyxhinge.core.limit;
 
 /**
- * How a workspace's quota stands at one router.
+ * State of a workspace's quota at one router.
  *
- * @param used units that count as used in the window
- * @param limit units that may be used in the window, as far as this router may go
+ * @param used units counted as used in the window
+ * @param limit units that this router may let the workspace use in the window
  * @param level units in the token bucket
- * @param heardPart part of the routers that is heard
+ * @param heardPart fraction of the routers that this router receives updates from
  */
 public record QuotaState(long used, long limit, long level, double heardPart) {}
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/RetryBudget.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/RetryBudget.java
@@ -4,18 +4,17 @@
 import java.util.Map;
 
 /**
- * Bounds how often a service's requests are sent to a further target, over all routers together and
- * without a message between them: each router spends the shared ratio only on the requests it took
- * itself, and an equal part of the fixed allowance. A retry storm on an ailing service is what this
- * prevents (Google SRE book, chapter 22, "retry budget").
+ * Limits the retries of a service's requests on other targets, across all routers and without communication between
+ * them: each router applies the shared ratio only to the requests that it received itself, and uses an equal part of
+ * the fixed allowance. This prevents retry storms on a failing service (Google SRE book, chapter 22, "retry budget").
  */
 public final class RetryBudget {
 
-    /** The part of the bound that is spent; the rest covers windows that are cut differently elsewhere. */
-    private static final double SPENT_PART = 0.7;
+    /** Fraction of the bound that is spent; the rest covers windows that other routers align differently. */
+    private static final double SPENDABLE_FRACTION = 0.7;
 
     private final Map<String, SlidingCount> requests = new HashMap<>();
-    private final Map<String, SlidingCount> repeats = new HashMap<>();
+    private final Map<String, SlidingCount> retries = new HashMap<>();
     private final double ratio;
     private final double allowance;
     private final long windowMs;
@@ -29,9 +28,9 @@
     /**
      * Creates a budget.
      *
-     * @param ratio repeats allowed for each request
-     * @param allowance repeats allowed beside the ratio in a window, over all routers
-     * @param windowMs the window
+     * @param ratio retries allowed per request
+     * @param allowance retries allowed in a window in addition to the ratio, over all routers
+     * @param windowMs length of the window
      */
     public static RetryBudget create(double ratio, double allowance, long windowMs) {
         return new RetryBudget(ratio, allowance, windowMs);
@@ -43,14 +42,14 @@
     }
 
     /**
-     * Takes one repeat, if the budget allows it.
+     * Takes one retry, if the budget allows it.
      *
-     * @param routers routers that share the allowance, this one included
+     * @param routers number of routers that share the allowance, including this one
      */
     public boolean tryRepeat(String service, int routers, long nowMs) {
-        double fixed = Math.floor(allowance * SPENT_PART / Math.max(1, routers));
-        double bound = ratio * SPENT_PART * count(requests, service).total(nowMs) + fixed;
-        SlidingCount spent = count(repeats, service);
+        double fixed = Math.floor(allowance * SPENDABLE_FRACTION / Math.max(1, routers));
+        double bound = ratio * SPENDABLE_FRACTION * count(requests, service).total(nowMs) + fixed;
+        SlidingCount spent = count(retries, service);
         if (spent.total(nowMs) + 1 > bound) {
             return false;
         }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/SharedQuota.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/SharedQuota.java
@@ -5,54 +5,58 @@
 import java.util.OptionalLong;
 
 /**
- * A workspace's quota, shared by all routers: in any window, the rate times the window plus the burst. A
- * token bucket that refills evenly to the same sum keeps use within the window even, so that what is not
- * known of it after a restart can be taken as even too.
- * Each router tells the others the running total of what it has let through and counts theirs with its
- * own. A router that should be there and isn't heard may be spending its equal part unseen, so the limit
- * is then only the part of those that are heard; both sides of a partition together stay within it.
+ * A workspace's quota, shared by all routers: in any window, the rate times the window plus the burst. A token bucket
+ * that refills evenly to the same sum keeps usage within the window even, so that usage which is unknown after a
+ * restart can be assumed to be even too.
+ *
+ * <p>Each router sends the others the running total of what it has admitted and adds theirs to its own. An expected
+ * router that is not heard from may be spending its equal part unseen, so the limit is then scaled to the fraction of
+ * routers that are heard; both sides of a partition together stay within it.
  */
 public final class SharedQuota {
 
     private static final double MS_PER_SECOND = 1_000.0;
 
     /**
-     * A less urgent call must leave room for this many more of its size for each rank below the first, so
-     * that a workspace near its limit spends the rest on what it ranks first.
+     * A call must leave this many times its own units free for each rank below the first, so that a workspace near its
+     * limit keeps the remainder for its most urgent calls.
      */
-    private static final int ROOM_PER_RANK = 20;
+    private static final int RESERVE_PER_RANK = 20;
 
     /**
-     * Each rank may use this part of what its workspace uses, whatever the more urgent ones ask for, so that none is
-     * shut out while the workspace is at its limit.
+     * Fraction of its workspace's usage that each rank may always use, whatever the more urgent ranks request, so that
+     * no rank is starved while the workspace is at its limit.
      */
-    private static final double LEAST_PART = 0.1;
+    private static final double MIN_RANK_SHARE = 0.1;
 
     /**
-     * Capacity of the bucket in bursts: a burst of callers, beside one large call, which may count as much as
-     * a second of a small workspace's rate.
+     * Capacity of the bucket in bursts: one burst of callers plus one large call, which may count as much as a second
+     * of a small workspace's rate.
      */
     private static final int BUCKET_BURSTS = 2;
 
-    /** Part of the limit that is taken as used after a restart; the rest serves until the first of it falls away. */
-    private static final double PRESUMED_PART = 0.9;
+    /**
+     * Fraction of the limit presumed used after a restart; the rest serves calls until the first presumed usage
+     * expires.
+     */
+    private static final double PRESUMED_USED_FRACTION = 0.9;
 
-    private final Map<String, Heard> heard = new HashMap<>();
+    private final Map<String, PeerTotal> peerTotals = new HashMap<>();
     private final long windowMs;
     private final SlidingCount used;
     private final Map<Integer, SlidingCount> ownByRank = new HashMap<>();
-    /** What may have been used before this router started, by whichever router. */
+    /** Usage by any router that may have occurred before this router started. */
     private final SlidingCount presumed;
 
     private double perSecond;
     private double burst;
-    private long knownFromMs;
+    private long usageKnownFromMs;
     private long ownTotal;
     private double level;
     private long refilledAtMs;
 
-    /** What a router last said: which of its starts that was, and its running total. */
-    private record Heard(long life, long total) {}
+    /** The last update from a router: its incarnation and its running total. */
+    private record PeerTotal(long incarnation, long total) {}
 
     private SharedQuota(double perSecond, double burst, long windowMs) {
         this.perSecond = perSecond;
@@ -63,35 +67,35 @@
     }
 
     /**
-     * Creates a quota; {@code perSecond} and {@code burst} are over all routers.
+     * Creates a quota; {@code perSecond} and {@code burst} apply to all routers together.
      *
-     * @param past what was used before. Where that is unknown, most of the limit is taken as used and falls away evenly
-     *     over a window, faster than a workspace within its limit uses it up, until a router that knows says what was
-     *     used. Where it is recorded, only what may have been used since is taken as used beside it
+     * @param past the preceding usage. Where it is unknown, most of the limit is presumed used and expires evenly over
+     *     a window, faster than a workspace within its limit uses it up, until a router that knows the usage reports
+     *     it. Where it is recorded, only what may have been used since the record is presumed in addition
      */
     public static SharedQuota create(double perSecond, double burst, long windowMs, PastUse past, long nowMs) {
         SharedQuota quota = new SharedQuota(perSecond, burst, windowMs);
-        quota.knownFromMs = past instanceof PastUse.None ? nowMs : nowMs + windowMs;
+        quota.usageKnownFromMs = past instanceof PastUse.None ? nowMs : nowMs + windowMs;
         quota.refilledAtMs = nowMs;
         switch (past) {
             case PastUse.None n -> quota.level = quota.capacity();
             case PastUse.Unknown u -> {
                 quota.level = quota.capacity() / 2;
-                quota.presumed.spread(nowMs, (long) (quota.limit(1) * PRESUMED_PART));
+                quota.presumed.spread(nowMs, (long) (quota.windowLimit(1) * PRESUMED_USED_FRACTION));
             }
             case PastUse.Recorded r -> {
                 quota.level = quota.capacity() / 2;
-                quota.presumed.spread(nowMs - r.agoMs(), r.units());
-                // What else may have been used since: all that flowed in meanwhile, and a full bucket at the end.
-                long flowed = (long) (quota.limit(1) * r.unseenMs() / windowMs);
-                quota.presumed.spread(nowMs, flowed, r.unseenMs());
+                quota.presumed.spread(nowMs - r.elapsedMs(), r.units());
+                // Usage since the record is at most everything refilled in that time plus a full bucket at its end.
+                long refilled = (long) (quota.windowLimit(1) * r.unobservedMs() / windowMs);
+                quota.presumed.spread(nowMs, refilled, r.unobservedMs());
                 quota.presumed.add(nowMs, Math.max(0, (long) quota.capacity() - r.toleratedUnits()));
             }
         }
         return quota;
     }
 
-    /** Puts a new limit in force. */
+    /** Applies a new limit. */
     public void limit(double newPerSecond, double newBurst) {
         perSecond = newPerSecond;
         burst = newBurst;
@@ -102,23 +106,23 @@
     }
 
     private void refill(double heardPart, long nowMs) {
-        level = Math.min(capacity(), level + (nowMs - refilledAtMs) * limit(heardPart) / windowMs);
+        level = Math.min(capacity(), level + (nowMs - refilledAtMs) * windowLimit(heardPart) / windowMs);
         refilledAtMs = nowMs;
     }
 
-    private double limit(double heardPart) {
+    private double windowLimit(double heardPart) {
         return (perSecond * windowMs / MS_PER_SECOND + burst) * heardPart;
     }
 
     /**
-     * Takes {@code units}, if the quota holds them.
+     * Takes {@code units}, if the quota has them available.
      *
-     * @param rank the call's rank among its workspace's, 0 the most urgent
-     * @param heardPart routers heard lately against routers there should be, this one counted in both
+     * @param rank the call's rank within its workspace, 0 the most urgent
+     * @param heardPart fraction of the expected routers that were recently heard from, counting this one in both
      */
     public boolean tryTake(long units, int rank, double heardPart, long nowMs) {
         refill(heardPart, nowMs);
-        if (missing(units, rank, heardPart, nowMs) > 0 || level < Math.min(units, capacity())) {
+        if (shortfall(units, rank, heardPart, nowMs) > 0 || level < Math.min(units, capacity())) {
             return false;
         }
         level -= units;
@@ -128,27 +132,29 @@
         return true;
     }
 
-    private long missing(long units, int rank, double heardPart, long nowMs) {
-        // Routers that do not hear each other divide what is left beside the presumed use, as they do the limit.
-        double room = limit(heardPart) - presumed.total(nowMs) * heardPart - used.total(nowMs);
-        // A call larger than the limit may go when nothing is used, or it could never go.
-        double wanted = Math.min(units, limit(heardPart));
-        // While much is only presumed as used, a workspace is probably far from its limit and has no rest to share out.
-        boolean mayUseTheRest = nowMs < knownFromMs || isBelowItsPart(units, rank, nowMs);
-        double kept = mayUseTheRest ? 0 : Math.min((double) rank * ROOM_PER_RANK * units, limit(heardPart) / 2);
-        return (long) Math.ceil(wanted + kept - room);
+    private long shortfall(long units, int rank, double heardPart, long nowMs) {
+        // Routers that do not hear each other divide the presumed usage in the same proportion as the limit.
+        double available = windowLimit(heardPart) - presumed.total(nowMs) * heardPart - used.total(nowMs);
+        // A call larger than the limit is admitted when nothing is used; otherwise it could never be admitted.
+        double required = Math.min(units, windowLimit(heardPart));
+        // While usage is mostly presumed, the workspace is probably far from its limit and there is no remainder to
+        // reserve.
+        boolean reserveWaived = nowMs < usageKnownFromMs || isBelowMinShare(units, rank, nowMs);
+        double reserved =
+                reserveWaived ? 0 : Math.min((double) rank * RESERVE_PER_RANK * units, windowLimit(heardPart) / 2);
+        return (long) Math.ceil(required + reserved - available);
     }
 
-    private boolean isBelowItsPart(long units, int rank, long nowMs) {
-        long all = 0;
+    private boolean isBelowMinShare(long units, int rank, long nowMs) {
+        long allRanks = 0;
         for (SlidingCount count : ownByRank.values()) {
-            all += count.total(nowMs);
+            allRanks += count.total(nowMs);
         }
         SlidingCount own = ownByRank.get(rank);
-        return (own == null ? 0 : own.total(nowMs)) + units <= LEAST_PART * (all + units);
+        return (own == null ? 0 : own.total(nowMs)) + units <= MIN_RANK_SHARE * (allRanks + units);
     }
 
-    /** Gives back what a call took that never ran. */
+    /** Refunds the units of a call that was never run. */
     public void giveBack(long units, int rank, long nowMs) {
         level += units;
         used.add(nowMs, -units);
@@ -156,70 +162,70 @@
         ownTotal -= units;
     }
 
-    /** What decides about a call now, for logs. */
+    /** The state that currently decides about a call, for logs. */
     public QuotaState state(double heardPart, long nowMs) {
         long counted = used.total(nowMs) + (long) (presumed.total(nowMs) * heardPart);
-        return new QuotaState(counted, (long) limit(heardPart), (long) level, heardPart);
+        return new QuotaState(counted, (long) windowLimit(heardPart), (long) level, heardPart);
     }
 
-    /** Time until {@code units} will probably be there. */
+    /** Estimated time until {@code units} are available. */
     public long waitMs(long units, int rank, double heardPart, long nowMs) {
-        long missing = missing(units, rank, heardPart, nowMs);
-        long windowWaitMs = missing > 0 ? untilLeftMs(missing, heardPart, nowMs) : 0;
-        double perMs = Math.max(limit(heardPart), 1) / windowMs;
-        return Math.max(windowWaitMs, (long) ((Math.min(units, capacity()) - level) / perMs));
+        long shortfall = shortfall(units, rank, heardPart, nowMs);
+        long windowWaitMs = shortfall > 0 ? timeUntilFreedMs(shortfall, heardPart, nowMs) : 0;
+        double refillPerMs = Math.max(windowLimit(heardPart), 1) / windowMs;
+        return Math.max(windowWaitMs, (long) ((Math.min(units, capacity()) - level) / refillPerMs));
     }
 
-    /** The sooner of the two counts: what has left either of them makes room. */
-    private long untilLeftMs(long missing, double heardPart, long nowMs) {
-        long ownMs = used.untilLeftMs(nowMs, missing);
-        return Math.min(ownMs, presumed.untilLeftMs(nowMs, (long) (missing / heardPart)));
+    /** The sooner of the two counters, since what expires from either one frees capacity. */
+    private long timeUntilFreedMs(long shortfall, double heardPart, long nowMs) {
+        long ownMs = used.timeUntilFreedMs(nowMs, shortfall);
+        return Math.min(ownMs, presumed.timeUntilFreedMs(nowMs, (long) (shortfall / heardPart)));
     }
 
-    /** What this router has let through since it started, for the others. */
+    /** Units that this router has admitted since it started, to be sent to the others. */
     public long ownTotal() {
         return ownTotal;
     }
 
-    /** What all routers have let through in the window as far as is known here, and what is presumed beside it. */
+    /** Units that all routers are known to have admitted in the window, plus the presumed usage. */
     public long usedInWindow(long nowMs) {
         return used.total(nowMs) + presumed.total(nowMs);
     }
 
-    /** What all routers have let through in the window, if that is known here. */
+    /** Units that all routers have admitted in the window, if known here. */
     public OptionalLong knownWindow(long nowMs) {
-        return nowMs >= knownFromMs ? OptionalLong.of(used.total(nowMs)) : OptionalLong.empty();
+        return nowMs >= usageKnownFromMs ? OptionalLong.of(used.total(nowMs)) : OptionalLong.empty();
     }
 
-    /** Notes that a router which has been heard has let nothing through yet. */
-    public void unusedBy(String router, long life) {
-        heard.putIfAbsent(router, new Heard(life, 0));
+    /** Records that a router which has been heard from has not admitted anything yet. */
+    public void unusedBy(String router, long incarnation) {
+        peerTotals.putIfAbsent(router, new PeerTotal(incarnation, 0));
     }
 
     /**
-     * Takes another router's running total into account.
+     * Applies another router's running total.
      *
      * @param router the router
-     * @param life a number that differs at each start of it
-     * @param total what it has let through since that start
-     * @param window what it knows that all routers let through in the window, if it does
+     * @param incarnation a number that differs at each start of that router
+     * @param total units that it has admitted since that start
+     * @param window units that it knows all routers to have admitted in the window, if it knows
      */
-    public void heard(String router, long life, long total, OptionalLong window, long nowMs) {
-        Heard before = heard.put(router, new Heard(life, total));
-        if (window.isPresent() && nowMs < knownFromMs) {
+    public void heard(String router, long incarnation, long total, OptionalLong window, long nowMs) {
+        PeerTotal before = peerTotals.put(router, new PeerTotal(incarnation, total));
+        if (window.isPresent() && nowMs < usageKnownFromMs) {
             presumed.clear();
             used.clear();
             used.spread(nowMs, window.getAsLong());
-            // The other may not have heard of this yet; it is counted twice rather than not at all.
+            // The peer may not have received this router's total yet; counting it twice is safer than omitting it.
             used.add(nowMs, ownTotal);
-            knownFromMs = nowMs;
+            usageKnownFromMs = nowMs;
         } else if (before != null) {
-            long more = before.life() == life ? total - before.total() : total;
-            used.add(nowMs, more);
-            level -= more;
-        } else if (nowMs < knownFromMs) {
-            // It has started within this window as well, so all of its total lies beside what is presumed here. Not
-            // counted, each router that comes back would spend the rest once more.
+            long increase = before.incarnation() == incarnation ? total - before.total() : total;
+            used.add(nowMs, increase);
+            level -= increase;
+        } else if (nowMs < usageKnownFromMs) {
+            // The peer also started within this window, so its whole total is beyond the usage presumed here. If it
+            // were not counted, each restarted router would let the remainder be spent once more.
             used.add(nowMs, total);
             level -= total;
         }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/SlidingCount.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/SlidingCount.java
@@ -3,12 +3,12 @@
 import java.util.Arrays;
 
 /**
- * How many events fell into the last window, counted in equal slices. A slice leaves only once all of it
- * is older than the window, so the count is never below the true one.
+ * Sliding-window counter over equal slices. A slice expires only once all of it is older than the window, so the count
+ * is never below the true one.
  */
 public final class SlidingCount {
 
-    /** Slices of a window: the count covers at most one tenth more than the window. */
+    /** Slices per window; the count covers at most one tenth more than the window. */
     private static final int SLICES = 10;
 
     private final long sliceMs;
@@ -19,7 +19,7 @@
         this.sliceMs = Math.max(1, windowMs / SLICES);
     }
 
-    /** Creates an empty count over {@code windowMs}. */
+    /** Creates an empty counter over {@code windowMs}. */
     public static SlidingCount over(long windowMs) {
         return new SlidingCount(windowMs);
     }
@@ -29,18 +29,18 @@
         add(nowMs, 1);
     }
 
-    /** Counts {@code amount}; a negative one takes back what was counted lately. */
+    /** Counts {@code amount}; a negative amount reverts recent counts. */
     public void add(long nowMs, long amount) {
         advance(nowMs);
         counts[slot(newestSlice)] += amount;
     }
 
-    /** Spreads {@code amount} evenly over the window that ends now. */
+    /** Distributes {@code amount} evenly over the window that ends now. */
     public void spread(long nowMs, long amount) {
         spread(nowMs, amount, sliceMs * SLICES);
     }
 
-    /** Spreads {@code amount} evenly over the last {@code spanMs}, a window at most. */
+    /** Distributes {@code amount} evenly over the last {@code spanMs}, at most a window. */
     public void spread(long nowMs, long amount, long spanMs) {
         advance(nowMs);
         int slices = (int) Math.max(1, Math.min(SLICES, spanMs / sliceMs));
@@ -49,13 +49,13 @@
         }
     }
 
-    /** Forgets everything. */
+    /** Resets the counter. */
     public void clear() {
         Arrays.fill(counts, 0);
     }
 
-    /** How long until at least {@code amount} of what is in the window has left it. */
-    public long untilLeftMs(long nowMs, long amount) {
+    /** Time until at least {@code amount} of the current count has expired. */
+    public long timeUntilFreedMs(long nowMs, long amount) {
         advance(nowMs);
         long left = 0;
         for (int age = SLICES; age >= 0; age--) {
@@ -67,7 +67,7 @@
         return sliceMs * SLICES;
     }
 
-    /** Events in the window that ends now. */
+    /** The count of the window that ends now. */
     public long total(long nowMs) {
         advance(nowMs);
         return Arrays.stream(counts).sum();
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/TokenBucket.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/TokenBucket.java
@@ -1,7 +1,7 @@
 package org.onyxhinge.core.limit;
 
 /**
- * A token bucket that begins empty, so that who takes it over from another cannot spend what that one has spent.
+ * A token bucket that starts empty, so that a new owner cannot spend again what its predecessor has spent.
  *
  * <p>Not thread-safe. Times are milliseconds of one monotonic clock.
  */
@@ -20,18 +20,18 @@
         this.filledAtMs = nowMs;
     }
 
-    /** Creates an empty bucket that fills at a rate, up to a number of tokens. */
+    /** Creates an empty bucket with a refill rate and a capacity. */
     public static TokenBucket filling(double perSecond, double capacity, long nowMs) {
         return new TokenBucket(perSecond, capacity, nowMs);
     }
 
-    /** Whole tokens in it. */
+    /** Number of whole tokens available. */
     public int tokens(long nowMs) {
         fill(nowMs);
         return (int) tokens;
     }
 
-    /** Takes a token; what lacks of a whole one is owed. */
+    /** Takes a token; the level may go below zero, and the deficit is refilled first. */
     public void take(long nowMs) {
         fill(nowMs);
         tokens--;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/package-info.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Limits that hold over all routers together: workspace quotas and the retry budget. */
+/** Limits that apply to all routers together: workspace quotas and the retry budget. */
 package org.onyxhinge.core.limit;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/model/Checks.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/model/Checks.java
@@ -2,7 +2,7 @@
 
 import java.util.regex.Pattern;
 
-/** Argument checks shared by the model records; each failure names the field. */
+/** Argument checks shared by the model records; each error message names the field. */
 final class Checks {
 
     private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9._-]{0,62}");
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/model/ClusterConfig.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/model/ClusterConfig.java
@@ -5,9 +5,9 @@
 import java.util.TreeMap;
 
 /**
- * One accepted version of the operators' configuration. Immutable; a new version replaces it whole.
+ * One accepted version of the operators' configuration. Immutable; a new version replaces it as a whole.
  *
- * @param revision the key-value service's revision this view was read at; larger is newer
+ * @param revision the key-value service's revision that this version was read at; larger is newer
  * @param tiers tiers by name
  * @param workspaces workspaces by name
  * @param services services by name
@@ -20,7 +20,7 @@
         Map<String, Service> services,
         Map<String, Pool> pools) {
 
-    /** Copies the maps into sorted, unmodifiable ones. */
+    /** Makes unmodifiable copies of the maps. */
     public ClusterConfig {
         tiers = Map.copyOf(new TreeMap<>(tiers));
         workspaces = Map.copyOf(new TreeMap<>(workspaces));
@@ -28,7 +28,7 @@
         pools = Map.copyOf(new TreeMap<>(pools));
     }
 
-    /** Returns the configuration with nothing in it, at revision 0. */
+    /** Returns an empty configuration at revision 0. */
     public static ClusterConfig empty() {
         return new ClusterConfig(0, Map.of(), Map.of(), Map.of(), Map.of());
     }
@@ -53,7 +53,7 @@
         return tiers.size();
     }
 
-    /** The rank of the least important tier; the largest integer when there is no tier. */
+    /** The rank of the least important tier; {@link Integer#MAX_VALUE} when there is no tier. */
     public int lowestRank() {
         return tiers.values().stream().mapToInt(Tier::rank).max().orElse(Integer.MAX_VALUE);
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/model/Pool.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/model/Pool.java
@@ -1,11 +1,11 @@
 package org.onyxhinge.core.model;
 
 /**
- * A pool of unlike targets that serve the same services. Targets join a pool through their agent's
- * settings; the pool itself only names them and the model they carry.
+ * A pool of heterogeneous targets that serve the same services. Targets join a pool through their agent's settings; the
+ * pool itself only defines a name and the model.
  *
  * @param name operator-chosen name
- * @param model model or application the pool's targets carry
+ * @param model model or application that the pool's targets run
  */
 public record Pool(String name, String model) {
 
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/model/RequestSpec.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/model/RequestSpec.java
@@ -1,7 +1,7 @@
 package org.onyxhinge.core.model;
 
 /**
- * What the router knows about one caller's request once it has been parsed and checked.
+ * A caller's request after parsing and validation.
  *
  * @param requestId the router-assigned id, unique across routers
  * @param workspace workspace name
@@ -9,11 +9,11 @@
  * @param service service name
  * @param pool pool that serves the service
  * @param promptTokens prompt length in tokens
- * @param maxTokens most tokens the caller wants generated
- * @param prefixHash hash of the prompt's shared leading part (the system message), for prefix-cache
- *     affinity; 0 when there is none
- * @param prefixTokens length in tokens of that shared leading part
- * @param idempotencyKey the caller's key, or empty
+ * @param maxTokens maximum number of tokens to generate
+ * @param prefixHash hash of the prompt's shared prefix (the system message), for prefix-cache affinity; 0 when there is
+ *     none
+ * @param prefixTokens length of that prefix in tokens
+ * @param idempotencyKey the caller's idempotency key, or empty
  * @param nonIdempotent true when the request must run at most once
  * @param arrivedAtMs arrival time on the router's monotonic clock
  */
@@ -31,12 +31,12 @@
         boolean nonIdempotent,
         long arrivedAtMs) {
 
-    /** The latest time the first token may reach the caller and still be in time. */
+    /** The latest time at which the first token reaches the caller within the tier's budget. */
     public long firstTokenDueAtMs() {
         return arrivedAtMs + tier.firstTokenBudgetMs();
     }
 
-    /** The latest time the last token may reach the caller and still be in time. */
+    /** The latest time at which the last token reaches the caller within the tier's deadline. */
     public long dueAtMs() {
         return arrivedAtMs + tier.deadlineMs();
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/model/Service.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/model/Service.java
@@ -1,9 +1,9 @@
 package org.onyxhinge.core.model;
 
 /**
- * A service callers name in their requests, served by one pool of back ends.
+ * A service that callers name in their requests, served by one pool of targets.
  *
- * @param name the name callers send as {@code model}
+ * @param name the name that callers send as {@code model}
  * @param kind model engine or plain service
  * @param pool the pool whose targets serve it
  * @param nonIdempotent true when a call must run at most once (a print instruction, a published forecast)
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/model/ServiceKind.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/model/ServiceKind.java
@@ -1,9 +1,9 @@
 package org.onyxhinge.core.model;
 
-/** What stands behind a service: a model engine that streams tokens, or a plain request/response service. */
+/** The kind of back end of a service: a model engine that streams tokens, or a plain request/response service. */
 public enum ServiceKind {
-    /** A model engine speaking the chat-completions shape with streamed tokens. */
+    /** A model engine that speaks the chat-completions protocol with streamed tokens. */
     MODEL,
-    /** A plain HTTP service answering one body per call. */
+    /** A plain HTTP service that returns one body per call. */
     PLAIN
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/model/Tier.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/model/Tier.java
@@ -1,14 +1,14 @@
 package org.onyxhinge.core.model;
 
 /**
- * A priority tier. A lower {@code rank} is more important: rank 0 is never shed while a request of
- * a higher rank is being served.
+ * A priority tier. A lower {@code rank} is more important: rank 0 is never shed while a request of a higher rank number
+ * is being served.
  *
  * @param name operator-chosen name, for example {@code interactive}
- * @param rank importance, 0 first
- * @param firstTokenBudgetMs time from arrival to the first streamed token that still counts as in time
- * @param betweenTokenBudgetMs largest gap between two streamed tokens that still counts as in time
- * @param deadlineMs time from arrival to the last token that still counts as in time
+ * @param rank importance, 0 the most important
+ * @param firstTokenBudgetMs maximum time from arrival to the first streamed token
+ * @param betweenTokenBudgetMs maximum gap between two streamed tokens
+ * @param deadlineMs maximum time from arrival to the last token
  */
 public record Tier(String name, int rank, long firstTokenBudgetMs, long betweenTokenBudgetMs, long deadlineMs) {
 
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/model/Workspace.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/model/Workspace.java
@@ -1,10 +1,10 @@
 package org.onyxhinge.core.model;
 
 /**
- * A customer's workspace and its share of the shared engines.
+ * A customer's workspace and its share of the engines.
  *
  * @param name operator-chosen name
- * @param maxInFlight most requests of this workspace queued or running on one router at once
+ * @param maxInFlight maximum requests of this workspace queued or running on one router
  */
 public record Workspace(String name, int maxInFlight) {
 
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/model/package-info.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/model/package-info.java
@@ -1,2 +1,2 @@
-/** Immutable records of what operators configure and what callers ask for. */
+/** Immutable records of the operators' configuration and of callers' requests. */
 package org.onyxhinge.core.model;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/order/FencingGate.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/order/FencingGate.java
@@ -3,10 +3,9 @@
 import org.onyxhinge.core.schedule.Invariants;
 
 /**
- * Lets an order through only if no order of a newer holder has been let through before. Not
- * thread-safe.
+ * Rejects orders whose fencing token is older than the newest token seen. Not thread-safe.
  *
- * <p>The same order may be sent again by its own holder, so an equal token passes.
+ * <p>A lease holder may resend the same order, so an equal token is accepted.
  */
 public final class FencingGate {
 
@@ -14,24 +13,24 @@
 
     private FencingGate() {}
 
-    /** A gate that has seen no token. */
+    /** Creates a gate that has seen no token. */
     public static FencingGate create() {
         return new FencingGate();
     }
 
-    /** Learns of a token from elsewhere, for example the lease key itself. */
+    /** Takes into account a token seen elsewhere, for example in the lease key itself. */
     public void learn(long token) {
         highestToken = Math.max(highestToken, token);
     }
 
-    /** True when an order with this token may be carried out; it is then the newest seen. */
+    /** True when an order with this token may be carried out; the token then becomes the newest seen. */
     public boolean admit(long token) {
         if (token < highestToken) {
             return false;
         }
         long before = highestToken;
         highestToken = token;
-        Invariants.check(highestToken >= before, "fencing tokens never go back", token);
+        Invariants.check(highestToken >= before, "fencing tokens never decrease", token);
         return true;
     }
 
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/order/OrderKind.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/order/OrderKind.java
@@ -4,7 +4,9 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** What an order asks of a target. The wire uses the ordinal: add new kinds at the end. */
+/**
+ * The operation that an order requests from a target. The wire format uses the ordinal: append new kinds at the end.
+ */
 public enum OrderKind {
     /** Load a model; the argument names it. */
     LOAD_MODEL,
@@ -15,7 +17,7 @@
     /** Change the engine's role, for example prefill or decode; the argument names it. */
     SET_ROLE;
 
-    /** The name on the command line and towards targets, for example {@code load-model}. */
+    /** The name used on the command line and in requests to targets, for example {@code load-model}. */
     public String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/order/OrderStatus.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/order/OrderStatus.java
@@ -1,13 +1,13 @@
 package org.onyxhinge.core.order;
 
-/** What became of an order. The wire uses the ordinal: add new ones at the end. */
+/** The result of an order. The wire format uses the ordinal: append new values at the end. */
 public enum OrderStatus {
     /** The target carried it out. */
     DONE,
-    /** Its fencing token is older than one already seen; it was not carried out. */
+    /** Rejected because its fencing token is older than one already seen; not carried out. */
     FENCED,
-    /** The target refused it or could not be reached; whether it took effect is in the detail. */
+    /** The target refused it or could not be reached; the detail says whether it took effect. */
     FAILED,
-    /** The agent could not learn the newest token from the key-value service; it was not carried out. */
+    /** The agent could not read the newest token from the key-value service; not carried out. */
     UNAVAILABLE
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/order/package-info.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/order/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Orders to targets (load a model, an adapter, a version; change role) and the fencing that keeps an
- * order of a holder whose lease has lapsed from taking effect.
+ * Orders to targets (load a model or an adapter, set a version, change role), and the fencing that stops orders from a
+ * holder whose lease has expired.
  */
 package org.onyxhinge.core.order;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/quarantine/BrokenCalls.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/quarantine/BrokenCalls.java
@@ -6,50 +6,53 @@
 import java.util.Map;
 
 /**
- * Calls whose connection to a target broke, until it is known whether the target has ended. A connection also breaks
- * for other reasons, and then says nothing against the call.
+ * Calls whose connection to a target broke, kept until it is known whether the target has ended. A connection may break
+ * for other reasons, which are no evidence against the call.
  *
- * <p>Not thread-safe: one thread owns it. Times are milliseconds of one monotonic clock.
+ * <p>Not thread-safe: confined to one thread. Times are milliseconds of one monotonic clock.
  */
 public final class BrokenCalls {
 
-    /** A target that ended is known as such within this: its registration lapses after a few missed heartbeats. */
-    private static final long KNOWN_WITHIN_MS = 10_000;
+    /**
+     * Upper bound on the time to detect the end of a target, whose registration lapses after a few missed heartbeats.
+     */
+    private static final long DETECTION_TIMEOUT_MS = 10_000;
 
-    /** Bytes that a target sent before it ended may be read so much later than the end of a connection to it. */
-    private static final long ON_THE_WAY_MS = 250;
+    /** Bytes that a target sent before it ended may be read up to this long after a connection to it broke. */
+    private static final long MAX_READ_DELAY_MS = 250;
 
     private final Map<String, List<Crash>> byIncarnation = new HashMap<>();
 
     private BrokenCalls() {}
 
-    /** Creates one that knows of none. */
+    /** Creates an empty instance. */
     public static BrokenCalls create() {
         return new BrokenCalls();
     }
 
-    /** Notes a call that broke; true for the first one of an incarnation whose end is not known yet. */
+    /** Records a call whose connection broke; true for the first call of an incarnation whose end is not known yet. */
     public boolean broke(RequestFingerprint request, String incarnation, long nowMs) {
-        byIncarnation.values().removeIf(calls -> nowMs - calls.getLast().atMs() > KNOWN_WITHIN_MS);
+        byIncarnation.values().removeIf(calls -> nowMs - calls.getLast().atMs() > DETECTION_TIMEOUT_MS);
         List<Crash> calls = byIncarnation.computeIfAbsent(incarnation, i -> new ArrayList<>());
         calls.add(new Crash(request, incarnation, nowMs));
         return calls.size() == 1;
     }
 
     /**
-     * Whether an incarnation may have ended when calls broke there: it has not been heard since.
+     * Whether an incarnation may have ended when its calls broke: no bytes have been received from it since.
      *
-     * @param heardAtMs when bytes last came from it
+     * @param heardAtMs when bytes were last received from it
      */
     public boolean mayHaveEnded(String incarnation, long heardAtMs) {
         List<Crash> calls = byIncarnation.get(incarnation);
-        return calls != null && heardAtMs <= calls.getLast().atMs() + ON_THE_WAY_MS;
+        return calls != null && heardAtMs <= calls.getLast().atMs() + MAX_READ_DELAY_MS;
     }
 
     /**
-     * Takes out the calls that broke at an incarnation which has ended, less those after which it was still heard.
+     * Removes the calls that broke at an incarnation that has ended, and returns them except those after which bytes
+     * were still received from it.
      *
-     * @param heardAtMs when bytes last came from it
+     * @param heardAtMs when bytes were last received from it
      */
     public List<Crash> ended(String incarnation, long heardAtMs, long nowMs) {
         List<Crash> calls = byIncarnation.remove(incarnation);
@@ -57,7 +60,7 @@
             return List.of();
         }
         return calls.stream()
-                .filter(c -> nowMs - c.atMs() <= KNOWN_WITHIN_MS && heardAtMs <= c.atMs() + ON_THE_WAY_MS)
+                .filter(c -> nowMs - c.atMs() <= DETECTION_TIMEOUT_MS && heardAtMs <= c.atMs() + MAX_READ_DELAY_MS)
                 .toList();
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/quarantine/Quarantine.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/quarantine/Quarantine.java
@@ -8,72 +8,75 @@
 import java.util.OptionalLong;
 
 /**
- * Which requests are kept from targets because they crash those that run them. A request is quarantined while it is
- * known to have been in {@link #CRASHES} crashes of different targets within {@link #REMEMBERED_MS}, and was answered
- * whole neither since nor shortly before. What routers know adds up in any order: a crash that is heard of twice counts
- * once.
+ * Requests that are withheld from targets because they crash the targets that run them. A request is quarantined while
+ * at least {@link #CRASH_THRESHOLD} crashes of different targets within {@link #CRASH_RETENTION_MS} are known for it,
+ * provided that it was not answered completely since, or shortly before, those crashes. The state does not depend on
+ * the order in which routers learn of crashes, and a crash reported twice counts once.
  *
- * <p>As crashes are forgotten one by one, a quarantined request may run again now and then, so that a cure of the
- * targets shows.
+ * <p>Crashes expire one by one, so a quarantined request may occasionally run again, which shows whether the targets
+ * have been fixed.
  *
- * <p>Not thread-safe: one thread owns it. Times are milliseconds of one monotonic clock.
+ * <p>Not thread-safe: confined to one thread. Times are milliseconds of one monotonic clock.
  */
 public final class Quarantine {
 
-    /** A request that was merely beside another one that is at fault is seldom in so many crashes. */
-    static final int CRASHES = 3;
+    /** A request that merely ran alongside the one at fault is rarely involved in this many crashes. */
+    static final int CRASH_THRESHOLD = 3;
 
     /** How long a crash counts. */
-    static final long REMEMBERED_MS = 600_000;
+    static final long CRASH_RETENTION_MS = 600_000;
 
-    /** A request that was answered whole so shortly before a crash is not to blame: many ask for the same thing. */
-    static final long CLEARED_BEFORE_MS = 60_000;
+    /**
+     * A request answered completely this shortly before a crash is not blamed: popular requests run in many places at
+     * once.
+     */
+    static final long SUCCESS_GRACE_MS = 60_000;
 
-    /** Requests with a crash that are remembered: a crash has as many suspects as the target had slots. */
-    private static final int MOST_SUSPECTS = 4_096;
+    /** Maximum number of suspected requests; a crash yields as many suspects as the target had slots. */
+    private static final int MAX_SUSPECTS = 4_096;
 
-    /** Requests remembered as answered whole; each takes about 100 bytes. */
-    private static final int MOST_ANSWERED = 2_048;
+    /** Maximum number of completely answered requests kept, at about 100 bytes each. */
+    private static final int MAX_ANSWERED = 2_048;
 
-    private final Map<RequestFingerprint, Map<String, Long>> crashes = bounded(MOST_SUSPECTS);
-    private final Map<RequestFingerprint, Long> answeredAtMs = bounded(MOST_ANSWERED);
+    private final Map<RequestFingerprint, Map<String, Long>> crashes = bounded(MAX_SUSPECTS);
+    private final Map<RequestFingerprint, Long> answeredAtMs = bounded(MAX_ANSWERED);
 
     private Quarantine() {}
 
-    /** Creates an empty one. */
+    /** Creates an empty quarantine. */
     public static Quarantine create() {
         return new Quarantine();
     }
 
-    private static <V> Map<RequestFingerprint, V> bounded(int most) {
+    private static <V> Map<RequestFingerprint, V> bounded(int maxEntries) {
         return new LinkedHashMap<>() {
             @Override
             protected boolean removeEldestEntry(Map.Entry<RequestFingerprint, V> eldest) {
-                return size() > most;
+                return size() > maxEntries;
             }
         };
     }
 
-    /** What comes of hearing of a crash. */
+    /** Effect of a reported crash. */
     public enum Effect {
-        /** It was known, or is too old to count. */
+        /** The crash was already known, or is too old to count. */
         NONE,
-        /** It is not blamed on the request, which was answered whole about then. */
+        /** The request is not blamed, because it was answered completely at about that time. */
         CLEARED,
         /** The request is a suspect. */
         SUSPECTED,
-        /** The request is quarantined from now on. */
+        /** The request is quarantined as of this crash. */
         QUARANTINED
     }
 
-    /** Takes a crash in, seen here or heard of. */
+    /** Records a crash, either observed here or reported by a peer. */
     public Effect crashed(Crash crash, long nowMs) {
-        if (nowMs - crash.atMs() >= REMEMBERED_MS) {
+        if (nowMs - crash.atMs() >= CRASH_RETENTION_MS) {
             return Effect.NONE;
         }
         RequestFingerprint request = crash.request();
         Long answered = answeredAtMs.get(request);
-        if (answered != null && answered >= crash.atMs() - CLEARED_BEFORE_MS) {
+        if (answered != null && answered >= crash.atMs() - SUCCESS_GRACE_MS) {
             return Effect.CLEARED;
         }
         int before = crashesOf(request, nowMs);
@@ -81,20 +84,20 @@
         if (known.putIfAbsent(crash.incarnation(), crash.atMs()) != null) {
             return Effect.NONE;
         }
-        return before == CRASHES - 1 ? Effect.QUARANTINED : Effect.SUSPECTED;
+        return before == CRASH_THRESHOLD - 1 ? Effect.QUARANTINED : Effect.SUSPECTED;
     }
 
     /**
-     * Notes that a request was answered whole.
+     * Records that a request was answered completely.
      *
      * @return whether it was a suspect
      */
     public boolean answered(RequestFingerprint request, long atMs) {
-        // Taken out first, so that it is the newest.
+        // Removed first so that reinsertion makes it the newest entry.
         Long before = answeredAtMs.remove(request);
         answeredAtMs.put(request, before == null ? atMs : Math.max(before, atMs));
         Map<String, Long> known = crashes.get(request);
-        if (known == null || !known.values().removeIf(crashedAtMs -> crashedAtMs <= atMs + CLEARED_BEFORE_MS)) {
+        if (known == null || !known.values().removeIf(crashedAtMs -> crashedAtMs <= atMs + SUCCESS_GRACE_MS)) {
             return false;
         }
         if (known.isEmpty()) {
@@ -103,36 +106,38 @@
         return true;
     }
 
-    /** How long ago a request was last answered whole, as far as is remembered. */
+    /** Time since a request was last answered completely, if still known. */
     public OptionalLong answeredAgoMs(RequestFingerprint request, long nowMs) {
         Long atMs = answeredAtMs.get(request);
         return atMs == null ? OptionalLong.empty() : OptionalLong.of(nowMs - atMs);
     }
 
-    /** True while no target may be given a request. */
+    /** True while a request must not be sent to any target. */
     public boolean holds(RequestFingerprint request, long nowMs) {
-        return crashesOf(request, nowMs) >= CRASHES;
+        return crashesOf(request, nowMs) >= CRASH_THRESHOLD;
     }
 
-    /** False for a request that one more crash quarantines: it had better not be repeated on its caller's behalf. */
+    /**
+     * False for a request that one more crash would quarantine, which should not be retried on its caller's behalf.
+     */
     public boolean mayBeRepeated(RequestFingerprint request, long nowMs) {
-        return crashesOf(request, nowMs) < CRASHES - 1;
+        return crashesOf(request, nowMs) < CRASH_THRESHOLD - 1;
     }
 
-    /** Targets that are known to have ended under a request. */
+    /** Number of targets known to have ended while running a request. */
     public int crashesOf(RequestFingerprint request, long nowMs) {
         Map<String, Long> known = crashes.get(request);
         if (known == null) {
             return 0;
         }
-        known.values().removeIf(atMs -> nowMs - atMs >= REMEMBERED_MS);
+        known.values().removeIf(atMs -> nowMs - atMs >= CRASH_RETENTION_MS);
         if (known.isEmpty()) {
             crashes.remove(request);
         }
         return known.size();
     }
 
-    /** Time until a quarantined request may run again if it crashes nothing more; 0 for one that is not quarantined. */
+    /** Time until a quarantined request may run again without further crashes; 0 for one that is not quarantined. */
     public long endsInMs(RequestFingerprint request, long nowMs) {
         if (!holds(request, nowMs)) {
             return 0;
@@ -140,30 +145,30 @@
         List<Long> newestFirst = crashes.get(request).values().stream()
                 .sorted((a, b) -> Long.compare(b, a))
                 .toList();
-        return newestFirst.get(CRASHES - 1) + REMEMBERED_MS - nowMs;
+        return newestFirst.get(CRASH_THRESHOLD - 1) + CRASH_RETENTION_MS - nowMs;
     }
 
-    /** Every crash that counts, for a router that knows nothing yet. */
+    /** All crashes that count, for a router that has no state yet. */
     public List<Crash> crashes(long nowMs) {
-        return crashesOfThoseWith(1, nowMs);
+        return crashesOfRequestsWithAtLeast(1, nowMs);
     }
 
-    /** The crashes of the quarantined requests, for the record. */
+    /** The crashes of the quarantined requests, for the stored record. */
     public List<Crash> crashesOfQuarantined(long nowMs) {
-        return crashesOfThoseWith(CRASHES, nowMs);
+        return crashesOfRequestsWithAtLeast(CRASH_THRESHOLD, nowMs);
     }
 
-    private List<Crash> crashesOfThoseWith(int least, long nowMs) {
+    private List<Crash> crashesOfRequestsWithAtLeast(int minCrashes, long nowMs) {
         List<Crash> out = new ArrayList<>();
         for (RequestFingerprint request : List.copyOf(crashes.keySet())) {
-            if (crashesOf(request, nowMs) >= least) {
+            if (crashesOf(request, nowMs) >= minCrashes) {
                 crashes.get(request).forEach((incarnation, atMs) -> out.add(new Crash(request, incarnation, atMs)));
             }
         }
         return out;
     }
 
-    /** Lifts every quarantine and forgets every crash. */
+    /** Lifts all quarantines and discards all crashes. */
     public void lift() {
         crashes.clear();
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/quarantine/RequestFingerprint.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/quarantine/RequestFingerprint.java
@@ -6,29 +6,30 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Identity of a request, the same for each time that its caller sends it: a hash of what is asked, and by whom. Ids and
- * deadlines differ from one time to the next and are left out.
+ * Identity of a request across retries by its caller: a hash of its content and its workspace. Ids and deadlines change
+ * with each retry and are excluded.
  *
  * @param high upper half of the hash
  * @param low lower half of the hash
  */
 public record RequestFingerprint(long high, long low) {
 
-    /** Of a request that nothing is known of. */
+    /** Fingerprint of an unknown request. */
     public static final RequestFingerprint NONE = new RequestFingerprint(0, 0);
 
-    /** Ends each text, so that two texts never run into each other; no text of a request's head holds it. */
-    private static final char END = '\0';
+    /** Terminates each field so that adjacent fields cannot be confused; it does not occur in a request head. */
+    private static final char TERMINATOR = '\0';
 
     /**
-     * The fingerprint of a request.
+     * Computes the fingerprint of a request.
      *
      * @param workspace its caller's workspace; empty on keyless routes
-     * @param host the host it is for
-     * @param uri its path and query
+     * @param host host of the request
+     * @param uri path and query of the request
      */
     public static RequestFingerprint of(String workspace, String method, String host, String uri, byte[] body) {
-        byte[] head = (workspace + END + method + END + host + END + uri + END).getBytes(StandardCharsets.UTF_8);
+        byte[] head = (workspace + TERMINATOR + method + TERMINATOR + host + TERMINATOR + uri + TERMINATOR)
+                .getBytes(StandardCharsets.UTF_8);
         byte[] all = new byte[head.length + body.length];
         System.arraycopy(head, 0, all, 0, head.length);
         System.arraycopy(body, 0, all, head.length, body.length);
@@ -36,7 +37,7 @@
         return new RequestFingerprint(hash[0], hash[1]);
     }
 
-    /** As 32 hexadecimal digits. */
+    /** Returns 32 hexadecimal digits. */
     @Override
     public String toString() {
         HexFormat hex = HexFormat.of();
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/quarantine/package-info.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Requests that crash the targets that run them: how they are recognised and kept from further targets. */
+/** Detection of requests that crash the targets that run them, and their quarantine. */
 package org.onyxhinge.core.quarantine;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/room/RoomBroker.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/room/RoomBroker.java
@@ -9,126 +9,132 @@
 import java.util.Map;
 
 /**
- * Decides, for one engine, whom to ask when a router would have to refuse a request of a higher tier
- * while other routers may run lower tiers there. It asks the other routers one at a time, so at most
- * one request is stopped for one asked, first for work at least two tiers below, then for the next
- * tier below. A router that does not answer in its turn is passed over. Every ask is answered once.
+ * Decides, for one engine, which routers to ask when a router would have to refuse a request of a higher tier while
+ * other routers may run lower tiers there. The other routers are asked one at a time, so that at most one request is
+ * preempted per preemption request: first for work at least two tiers below, then for the next tier below. A router
+ * that does not answer in time is skipped. Every preemption request is answered exactly once.
  *
- * <p>Nothing is sent while no router asks, so it costs no control traffic in quiet times. Not
- * thread-safe: the agent's control thread owns it. Times are milliseconds of a monotonic clock.
+ * <p>Messages are sent only when a router asks, so an idle system has no control traffic. Not thread-safe: confined to
+ * the agent's control thread. Times are milliseconds of a monotonic clock.
  */
 public final class RoomBroker {
 
-    private final long turnMs;
-    private final long lastTurnMs;
-    private final Map<Long, Ask> byTurn = new HashMap<>();
+    private final long answerTimeoutMs;
+    private final long lastAnswerTimeoutMs;
+    private final Map<Long, PendingRequest> pendingByTurn = new HashMap<>();
     private long nextTurnId = 1;
 
-    private RoomBroker(long turnMs, long lastTurnMs) {
-        this.turnMs = turnMs;
-        this.lastTurnMs = lastTurnMs;
+    private RoomBroker(long answerTimeoutMs, long lastAnswerTimeoutMs) {
+        this.answerTimeoutMs = answerTimeoutMs;
+        this.lastAnswerTimeoutMs = lastAnswerTimeoutMs;
     }
 
     /**
      * Creates a broker.
      *
-     * @param turnMs how long a router has to answer while others can be asked
-     * @param lastTurnMs how long the last one has; who asks gives up by its request's own budget
+     * @param answerTimeoutMs how long a router may take to answer while others can still be asked
+     * @param lastAnswerTimeoutMs how long the last router may take; the requesting router gives up by its request's own
+     *     budget
      */
-    public static RoomBroker create(long turnMs, long lastTurnMs) {
-        return new RoomBroker(turnMs, lastTurnMs);
+    public static RoomBroker create(long answerTimeoutMs, long lastAnswerTimeoutMs) {
+        return new RoomBroker(answerTimeoutMs, lastAnswerTimeoutMs);
     }
 
-    /** A router wants room for a request of {@code rank}; {@code routers} are all that use the engine. */
+    /**
+     * Handles a preemption request for a request of {@code rank}; {@code routers} are all routers that use the engine.
+     */
     public List<RoomStep> requested(String routerId, long askId, int rank, Collection<String> routers, long nowMs) {
-        Deque<RoomStep.AskRouter> turns = new ArrayDeque<>();
-        for (int floor = rank + 1; floor >= rank; floor--) {
+        Deque<RoomStep.AskRouter> remainingAsks = new ArrayDeque<>();
+        for (int rankFloor = rank + 1; rankFloor >= rank; rankFloor--) {
             for (String other : routers) {
                 if (!other.equals(routerId)) {
-                    turns.addLast(new RoomStep.AskRouter(other, 0, floor));
+                    remainingAsks.addLast(new RoomStep.AskRouter(other, 0, rankFloor));
                 }
             }
         }
-        return nextTurn(new Ask(routerId, askId, turns), nowMs);
+        return askNext(new PendingRequest(routerId, askId, remainingAsks), nowMs);
     }
 
-    /** A router answered its turn; late and unknown answers change nothing. */
+    /** Handles a router's answer; late and unknown answers are ignored. */
     public List<RoomStep> answered(String routerId, long turnId, boolean made, long nowMs) {
-        Ask ask = byTurn.get(turnId);
-        if (ask == null || !ask.askedRouter.equals(routerId)) {
+        PendingRequest request = pendingByTurn.get(turnId);
+        if (request == null || !request.askedRouter.equals(routerId)) {
             return List.of();
         }
-        byTurn.remove(turnId);
+        pendingByTurn.remove(turnId);
         if (made) {
-            return List.of(new RoomStep.Answer(ask.routerId, ask.askId, true));
+            return List.of(new RoomStep.Answer(request.routerId, request.askId, true));
         }
-        return nextTurn(ask, nowMs);
+        return askNext(request, nowMs);
     }
 
-    /** A router's connection is gone: its turn passes to the next, its own asks end. */
+    /**
+     * Handles the loss of a router's connection: the next router is asked in its place, and its own requests are
+     * dropped.
+     */
     public List<RoomStep> left(String routerId, long nowMs) {
-        byTurn.values().removeIf(a -> a.routerId.equals(routerId));
+        pendingByTurn.values().removeIf(a -> a.routerId.equals(routerId));
         List<RoomStep> out = new ArrayList<>();
-        for (Map.Entry<Long, Ask> e : List.copyOf(byTurn.entrySet())) {
+        for (Map.Entry<Long, PendingRequest> e : List.copyOf(pendingByTurn.entrySet())) {
             if (e.getValue().askedRouter.equals(routerId)) {
-                byTurn.remove(e.getKey());
-                out.addAll(nextTurn(e.getValue(), nowMs));
+                pendingByTurn.remove(e.getKey());
+                out.addAll(askNext(e.getValue(), nowMs));
             }
         }
         return out;
     }
 
-    /** Passes over routers whose turn has run out. */
+    /** Skips routers that did not answer in time. */
     public List<RoomStep> tick(long nowMs) {
         List<RoomStep> out = new ArrayList<>();
-        for (Map.Entry<Long, Ask> e : List.copyOf(byTurn.entrySet())) {
-            if (nowMs >= e.getValue().turnEndsAtMs) {
-                byTurn.remove(e.getKey());
-                e.getValue().forgetAskedRouter();
-                out.addAll(nextTurn(e.getValue(), nowMs));
+        for (Map.Entry<Long, PendingRequest> e : List.copyOf(pendingByTurn.entrySet())) {
+            if (nowMs >= e.getValue().timesOutAtMs) {
+                pendingByTurn.remove(e.getKey());
+                e.getValue().skipAskedRouter();
+                out.addAll(askNext(e.getValue(), nowMs));
             }
         }
         return out;
     }
 
-    /** Asks not yet answered. */
+    /** Number of preemption requests not yet answered. */
     public int open() {
-        return byTurn.size();
+        return pendingByTurn.size();
     }
 
-    private List<RoomStep> nextTurn(Ask ask, long nowMs) {
-        RoomStep.AskRouter turn = ask.turns.pollFirst();
-        if (turn == null) {
-            return List.of(new RoomStep.Answer(ask.routerId, ask.askId, false));
+    private List<RoomStep> askNext(PendingRequest request, long nowMs) {
+        RoomStep.AskRouter next = request.remainingAsks.pollFirst();
+        if (next == null) {
+            return List.of(new RoomStep.Answer(request.routerId, request.askId, false));
         }
         long turnId = nextTurnId++;
-        ask.askedRouter = turn.routerId();
-        ask.turnEndsAtMs = nowMs + (ask.othersCanBeAsked() ? turnMs : lastTurnMs);
-        byTurn.put(turnId, ask);
-        return List.of(new RoomStep.AskRouter(turn.routerId(), turnId, turn.rank()));
+        request.askedRouter = next.routerId();
+        request.timesOutAtMs = nowMs + (request.hasOtherRouters() ? answerTimeoutMs : lastAnswerTimeoutMs);
+        pendingByTurn.put(turnId, request);
+        return List.of(new RoomStep.AskRouter(next.routerId(), turnId, next.rank()));
     }
 
-    private static final class Ask {
+    private static final class PendingRequest {
 
-        /** A router that is late may have stopped a request; asked again, it would stop a second one. */
-        private void forgetAskedRouter() {
-            turns.removeIf(t -> t.routerId().equals(askedRouter));
+        /** A router that timed out may still have preempted a request; asked again, it would preempt a second one. */
+        private void skipAskedRouter() {
+            remainingAsks.removeIf(t -> t.routerId().equals(askedRouter));
         }
 
-        private boolean othersCanBeAsked() {
-            return turns.stream().anyMatch(t -> !t.routerId().equals(askedRouter));
+        private boolean hasOtherRouters() {
+            return remainingAsks.stream().anyMatch(t -> !t.routerId().equals(askedRouter));
         }
 
         private final String routerId;
         private final long askId;
-        private final Deque<RoomStep.AskRouter> turns;
+        private final Deque<RoomStep.AskRouter> remainingAsks;
         private String askedRouter = "";
-        private long turnEndsAtMs;
+        private long timesOutAtMs;
 
-        private Ask(String routerId, long askId, Deque<RoomStep.AskRouter> turns) {
+        private PendingRequest(String routerId, long askId, Deque<RoomStep.AskRouter> remainingAsks) {
             this.routerId = routerId;
             this.askId = askId;
-            this.turns = turns;
+            this.remainingAsks = remainingAsks;
         }
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/room/RoomStep.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/room/RoomStep.java
@@ -1,26 +1,26 @@
 package org.onyxhinge.core.room;
 
-/** What the {@link RoomBroker} wants sent. */
+/** A message that the {@link RoomBroker} requests to be sent. */
 public sealed interface RoomStep {
 
-    /** The router it goes to. */
+    /** The router that the message is sent to. */
     String routerId();
 
     /**
-     * Ask a router to stop one of its requests on the engine of a tier below {@code rank}.
+     * Asks a router to preempt one of its requests on the engine whose tier is below {@code rank}.
      *
      * @param routerId the router asked
-     * @param turnId id its answer must carry
-     * @param rank only tiers of a higher rank number may be stopped
+     * @param turnId id that its answer must carry
+     * @param rank only requests with a higher rank number may be preempted
      */
     record AskRouter(String routerId, long turnId, int rank) implements RoomStep {}
 
     /**
-     * Answer the router that wants room.
+     * Answers the router that requested the preemption.
      *
      * @param routerId the router that asked
-     * @param askId the id it gave
-     * @param made true when another router stopped a request
+     * @param askId the id that it gave
+     * @param made true when another router preempted a request
      */
     record Answer(String routerId, long askId, boolean made) implements RoomStep {}
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/room/package-info.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/room/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Making room across routers: how an agent asks the other routers of its engine, one at a time, to stop
- * a request of a lower tier before one router refuses a higher one.
+ * Preemption across routers: an agent asks the other routers of its engine, one at a time, to preempt a request of a
+ * lower tier before one router has to refuse a request of a higher tier.
  */
 package org.onyxhinge.core.room;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/route/EdgeLimits.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/route/EdgeLimits.java
@@ -1,11 +1,11 @@
 package org.onyxhinge.core.route;
 
 /**
- * What callers may send and how long they may take.
+ * Size and time limits for callers' requests.
  *
- * @param maxHeaderBytes largest head of a request
- * @param maxBodyBytes largest body
- * @param headerTimeoutMs longest time for a head to arrive
- * @param idleTimeoutMs time a connection may stay idle
+ * @param maxHeaderBytes maximum size of a request head
+ * @param maxBodyBytes maximum size of a body
+ * @param headerTimeoutMs maximum time for a request head to arrive
+ * @param idleTimeoutMs maximum idle time of a connection
  */
 public record EdgeLimits(int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {}
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/route/ForwardingConfig.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/route/ForwardingConfig.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 
 /**
- * One accepted version of routes, services, workspaces and limits. Immutable: a call reads one version
- * from one reference, so a change is in force as a whole or not at all.
+ * One accepted version of routes, services, workspaces and limits. Immutable: a call reads one version through one
+ * reference, so a change takes effect atomically.
  */
 public final class ForwardingConfig {
 
@@ -29,7 +29,7 @@
         this.routes = List.copyOf(routes);
     }
 
-    /** Builds a version; throws {@link IllegalArgumentException} when a route leads to an unknown service. */
+    /** Builds a version; throws {@link IllegalArgumentException} when a route refers to an unknown service. */
     public static ForwardingConfig of(
             long version,
             EdgeLimits limits,
@@ -63,25 +63,25 @@
         }
     }
 
-    /** The operators' version number. */
+    /** The version number assigned by the operators. */
     public long version() {
         return version;
     }
 
-    /** What callers may send. */
+    /** Limits for callers' requests. */
     public EdgeLimits limits() {
         return limits;
     }
 
-    /** Every route. */
+    /** All routes. */
     public List<Route> routes() {
         return routes;
     }
 
     /**
-     * The route of a call: of the host's routes, the one with the longest prefix of the path.
+     * The route of a call: among the host's routes, the one with the longest matching path prefix.
      *
-     * @param host host the caller named, with or without port
+     * @param host host named by the caller, with or without port
      * @param path path without query
      */
     public Optional<Route> match(String host, String path) {
@@ -100,22 +100,22 @@
         return (port ? host.substring(0, colon) : host).toLowerCase(Locale.ROOT);
     }
 
-    /** The workspace that holds a key. */
+    /** The workspace that an API key belongs to. */
     public Optional<WorkspaceAccess> workspaceOfKey(String key) {
         return Optional.ofNullable(workspaceByKey.get(key));
     }
 
-    /** A workspace by name. */
+    /** The workspace with this name. */
     public Optional<WorkspaceAccess> workspace(String name) {
         return Optional.ofNullable(workspaces.get(name));
     }
 
-    /** Every workspace. */
+    /** All workspaces. */
     public Collection<WorkspaceAccess> workspaces() {
         return workspaces.values();
     }
 
-    /** A service by name. */
+    /** The service with this name. */
     public Optional<TargetService> service(String name) {
         return Optional.ofNullable(services.get(name));
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/route/Route.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/route/Route.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * Where calls to a host and path go and what may be done with them.
+ * Forwarding rule for calls to a host and path prefix.
  *
  * @param name operator-chosen name
- * @param host the host it belongs to, lower case, without port
+ * @param host the host it applies to, lower case, without port
  * @param pathPrefix path prefix, beginning and ending with a slash
- * @param kind what may be repeated
- * @param resumable whether a broken stream may go on at another target after its last event
- * @param keyless whether it is open to callers without an API key
+ * @param kind which parts of a call may be repeated
+ * @param resumable whether a broken stream may be resumed at another target after its last event
+ * @param keyless whether callers need no API key
  * @param priority rank, 0 the most urgent
- * @param timeoutMs longest time a caller is kept waiting for the whole answer
+ * @param timeoutMs maximum time for the complete answer
  * @param targetLatencyMs time within which the answer, or its first event, is on time
- * @param gapTargetMs longest pause between events of a stream on time; 0 for other kinds
- * @param maxAttempts most targets one call may be sent to
- * @param shares services it leads to, with weights
+ * @param gapTargetMs longest pause between events for a stream to be on time; 0 for other kinds
+ * @param maxAttempts maximum number of targets a call may be sent to
+ * @param shares weighted services that the route leads to
  */
 public record Route(
         String name,
@@ -47,15 +47,15 @@
         shares = List.copyOf(shares);
     }
 
-    /** True when a call whose answer has begun, or may have begun, may be sent to another target. */
+    /** True when a call may be sent to another target although its answer has begun or may have begun. */
     public boolean repeatable() {
         return kind == CallKind.IDEMPOTENT || kind == CallKind.STREAM && resumable;
     }
 
     /**
-     * Picks a service by weight.
+     * Selects a service by weight.
      *
-     * @param draw a number from 0 up to, not including, 1
+     * @param draw a random number from 0 (inclusive) to 1 (exclusive)
      */
     public String pick(double draw) {
         int total = 0;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/route/ServiceShare.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/route/ServiceShare.java
@@ -1,14 +1,14 @@
 package org.onyxhinge.core.route;
 
 /**
- * One service's part of a route's traffic.
+ * One service's share of a route's traffic.
  *
  * @param service the service
- * @param weight its weight against the route's other shares
+ * @param weight its weight relative to the route's other shares
  */
 public record ServiceShare(String service, int weight) {
 
-    /** Checks the weight. */
+    /** Rejects negative weights. */
     public ServiceShare {
         if (weight < 0) {
             throw new IllegalArgumentException("weight of service " + service + " must not be negative: " + weight);
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/route/WorkspaceAccess.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/route/WorkspaceAccess.java
@@ -4,15 +4,15 @@
 import java.util.Set;
 
 /**
- * A workspace's API keys, rank and quota.
+ * A workspace's API keys, priority and quota.
  *
  * @param name the workspace
- * @param apiKeys keys its callers send
- * @param priority rank that goes before the route's, if it has one
- * @param unit what the quota counts
- * @param plainUnits what a call that names no tokens counts under a token quota
+ * @param apiKeys API keys of its callers
+ * @param priority rank that takes precedence over the route's, if set
+ * @param unit unit of the quota
+ * @param plainUnits units charged under a token quota for a call without token counts
  * @param quotaPerSecond refill rate of the quota, over all routers; 0 for no limit
- * @param quotaBurst units it may use at once beside the rate
+ * @param quotaBurst units that may be used at once in addition to the rate
  */
 public record WorkspaceAccess(
         String name,
@@ -23,20 +23,21 @@
         double quotaPerSecond,
         double quotaBurst) {
 
-    /** Copies the keys. */
+    /** Makes a defensive copy of the keys. */
     public WorkspaceAccess {
         apiKeys = Set.copyOf(apiKeys);
     }
 
-    /** True when it has a limit. */
+    /** True when the workspace has a quota. */
     public boolean limited() {
         return quotaPerSecond > 0;
     }
 
     /**
-     * The units a call counts.
+     * The units charged for a call.
      *
-     * @param tokens prompt tokens plus the most tokens it may generate; negative when it names none
+     * @param tokens prompt tokens plus the maximum number of generated tokens; negative when the call has no token
+     *     counts
      */
     public long units(long tokens) {
         return switch (unit) {
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/route/package-info.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/route/package-info.java
@@ -1,2 +1,4 @@
-/** Routes by host and path, workspaces by API key, and the services they lead to: one immutable configuration. */
+/**
+ * Routes by host and path, workspaces by API key, and the services that routes lead to, in one immutable configuration.
+ */
 package org.onyxhinge.core.route;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/Action.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/Action.java
@@ -2,14 +2,14 @@
 
 import org.onyxhinge.core.model.RequestSpec;
 
-/** What the scheduler asks its adapters to do. Carried out in the order returned. */
+/** A side effect that the scheduler requests from its adapters. Actions are carried out in the order returned. */
 public sealed interface Action {
 
-    /** The request this action is about. */
+    /** The id of the request that this action concerns. */
     String requestId();
 
     /**
-     * Send the request to an engine. Given at most once per request.
+     * Sends the request to an engine. Returned at most once per request.
      *
      * @param spec the request
      * @param engine the chosen engine, as its agent last described it
@@ -22,10 +22,10 @@
     }
 
     /**
-     * Answer the caller with a refusal; the request was never dispatched.
+     * Answers the caller with a refusal; the request was never dispatched.
      *
      * @param spec the request
-     * @param refusal what to tell the caller
+     * @param refusal the refusal returned to the caller
      */
     record Refuse(RequestSpec spec, Refusal refusal) implements Action {
         @Override
@@ -35,17 +35,17 @@
     }
 
     /**
-     * Stop a running request on its engine and tell its caller why.
+     * Stops a running request on its engine and reports the reason to its caller.
      *
      * @param requestId the request
-     * @param engineId where it runs
-     * @param refusal what to tell the caller
+     * @param engineId the engine it runs on
+     * @param refusal the refusal returned to the caller
      */
     record Cancel(String requestId, String engineId, Refusal refusal) implements Action {}
 
     /**
-     * Ask the engine's other routers, through its agent, to stop a request of a lower tier. The answer
-     * goes to {@link Scheduler#roomAnswered}.
+     * Asks the other routers that use the engine, through its agent, to preempt a request of a lower tier. The result
+     * is passed to {@link Scheduler#roomAnswered}.
      *
      * @param spec the request that would otherwise be refused
      * @param engineId the engine
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/DispatchHistory.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/DispatchHistory.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Remembers the latest requests handed to an engine, to assert the brief's promise that each is
- * dispatched at most once. Kept only while {@link Invariants} are checked.
+ * Records the most recent dispatches to assert the invariant that each request is dispatched at most once. Kept only
+ * while {@link Invariants} are enabled.
  */
 final class DispatchHistory {
 
@@ -20,15 +20,15 @@
         }
     };
 
-    /** Notes a dispatch; a second one of the same request breaks the promise. */
+    /** Records a dispatch; a second dispatch of the same request violates the invariant. */
     void record(String requestId) {
         if (Invariants.enabled()) {
             Invariants.check(requestIds.put(requestId, Boolean.TRUE) == null, "dispatched at most once", requestId);
         }
     }
 
-    /** Undoes a dispatch of which no byte was sent. */
-    void takeBack(String requestId) {
+    /** Removes a dispatch of which no byte was sent. */
+    void undoDispatch(String requestId) {
         requestIds.remove(requestId);
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/EngineInfo.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/EngineInfo.java
@@ -1,16 +1,16 @@
 package org.onyxhinge.core.schedule;
 
 /**
- * What an agent tells routers about its engine when it joins.
+ * The description of an engine that its agent sends to routers on joining.
  *
  * @param engineId unique id of the engine
- * @param pool pool it serves
- * @param host address the router dispatches to
- * @param port port the router dispatches to
- * @param maxBatch how many sequences the engine runs at once
- * @param prefillTokensPerSecond prompt tokens it processes per second
- * @param decodeTokensPerSecond tokens it generates per second for one sequence
- * @param checksFencing true when the engine refuses orders with an old fencing number itself
+ * @param pool pool that the engine serves
+ * @param host address that routers dispatch to
+ * @param port port that routers dispatch to
+ * @param maxBatch maximum number of sequences in a batch
+ * @param prefillTokensPerSecond prefill rate in prompt tokens per second
+ * @param decodeTokensPerSecond decode rate of one sequence in tokens per second
+ * @param checksFencing true when the engine itself rejects orders with an outdated fencing token
  */
 public record EngineInfo(
         String engineId,
@@ -22,7 +22,7 @@
         int decodeTokensPerSecond,
         boolean checksFencing) {
 
-    /** Rejects values that would break the estimates. */
+    /** Rejects non-positive capacities, which would invalidate the time estimates. */
     public EngineInfo {
         if (maxBatch < 1 || prefillTokensPerSecond < 1 || decodeTokensPerSecond < 1) {
             throw new IllegalArgumentException("engine " + engineId + " reports non-positive capacity");
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/EngineSlot.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/EngineState.java
@@ -8,35 +8,35 @@
 import org.onyxhinge.core.model.RequestSpec;
 
 /**
- * The scheduler's view of one engine: its own in-flight requests, what the last stale report said
- * about other routers' load, how much slower than announced it has lately been, and the prefixes it
- * probably caches. Owned by the scheduler's thread.
+ * The scheduler's view of one engine: this router's in-flight requests, the load of other routers from the last (stale)
+ * report, the observed slowdown against the announced speed, and the prefixes that are probably cached. Confined to the
+ * scheduler's thread.
  */
-final class EngineSlot {
+final class EngineState {
 
     private static final long MS_PER_SECOND = 1_000;
     private static final double SLOWNESS_WEIGHT = 0.3;
-    /** What a first token takes beside the engine's own work: connection, batch step, network. */
+    /** Latency of a first token outside the engine's own work: connection, batch step and network. */
     private static final long FIRST_TOKEN_OVERHEAD_MS = 50;
 
     private static final double MAX_SLOWNESS = 16.0;
 
     private final EngineInfo info;
-    private final Map<String, Running> running = new LinkedHashMap<>();
-    private final PrefixMemory prefixes;
+    private final Map<String, RunningRequest> running = new LinkedHashMap<>();
+    private final PrefixCacheEstimate prefixes;
     private int othersInFlight;
     private boolean draining;
     private boolean unreachable;
     private long lastHeardAtMs;
-    private int fullBelowRank = Integer.MAX_VALUE;
-    private long fullUntilMs;
+    private int noVictimBelowRank = Integer.MAX_VALUE;
+    private long noVictimUntilMs;
     private double actualFirstTokenMs;
     private double nominalFirstTokenMs;
     private double slowness = 1.0;
 
-    EngineSlot(EngineInfo info, int prefixCapacity, long nowMs) {
+    EngineState(EngineInfo info, int prefixCapacity, long nowMs) {
         this.info = info;
-        this.prefixes = new PrefixMemory(prefixCapacity);
+        this.prefixes = new PrefixCacheEstimate(prefixCapacity);
         this.lastHeardAtMs = nowMs;
     }
 
@@ -64,21 +64,21 @@
         return Math.max(0, info.maxBatch() - inFlight());
     }
 
-    /** This router's requests here of a tier above {@code rank}. */
-    int ownAbove(int rank) {
+    /** Number of this router's requests here whose tier is above {@code rank}. */
+    int ownRunningAbove(int rank) {
         int n = 0;
-        for (Running r : running.values()) {
+        for (RunningRequest r : running.values()) {
             n += r.rank() < rank ? 1 : 0;
         }
         return n;
     }
 
-    /** Requests in progress there, this router's and, as last reported, the others'. */
+    /** Requests in progress here: this router's own plus those of other routers as last reported. */
     int inFlight() {
         return running.size() + othersInFlight;
     }
 
-    Collection<Running> running() {
+    Collection<RunningRequest> running() {
         return running.values();
     }
 
@@ -102,22 +102,22 @@
         return slowness;
     }
 
-    void add(Running r) {
+    void add(RunningRequest r) {
         running.put(r.spec().requestId(), r);
-        prefixes.remember(r.spec().prefixHash());
+        prefixes.markCached(r.spec().prefixHash());
     }
 
-    Running remove(String requestId) {
+    RunningRequest remove(String requestId) {
         return running.remove(requestId);
     }
 
     /**
-     * Notes a first token and learns from it how much slower than announced the engine is: engines
-     * slow down without saying so, and their reports are late. Times are smoothed before they are
-     * compared, so long prompts, which show a slowdown best, count most.
+     * Records a first token and updates the slowdown estimate: engines become slower without announcing it, and their
+     * reports arrive late. Actual and nominal times are smoothed before their ratio is taken, so that long prompts,
+     * which show a slowdown most clearly, weigh most.
      */
     void markFirstToken(String requestId, long nowMs) {
-        Running r = running.get(requestId);
+        RunningRequest r = running.get(requestId);
         if (r == null || r.firstTokenSeen()) {
             return;
         }
@@ -128,30 +128,30 @@
         slowness = Math.min(MAX_SLOWNESS, Math.max(1.0, actualFirstTokenMs / Math.max(1, nominalFirstTokenMs)));
     }
 
-    void heard(LoadReport report, long nowMs) {
+    void applyReport(LoadReport report, long nowMs) {
         lastHeardAtMs = nowMs;
         draining = report.draining();
         unreachable = false;
         othersInFlight = Math.max(0, report.running() + report.waiting() - running.size());
-        report.cachedPrefixes().forEach(prefixes::remember);
+        report.cachedPrefixes().forEach(prefixes::markCached);
     }
 
-    /** Another router stopped one of its requests here. */
-    void roomMade() {
+    /** Accounts for a request that another router preempted here. */
+    void otherRouterPreempted() {
         othersInFlight = Math.max(0, othersInFlight - 1);
     }
 
-    /** No other router had work here of a tier below {@code rank}; true until {@code untilMs}. */
-    void noRoomBelow(int rank, long untilMs) {
-        fullBelowRank = rank;
-        fullUntilMs = untilMs;
+    /** Records that no other router had a request here of a tier below {@code rank}; valid until {@code untilMs}. */
+    void noVictimBelow(int rank, long untilMs) {
+        noVictimBelowRank = rank;
+        noVictimUntilMs = untilMs;
     }
 
-    /** True when another router may run lower-tier work here whose stopping would let {@code spec} start. */
-    boolean othersMayMakeRoom(RequestSpec spec, long nowMs) {
-        boolean knownFull = nowMs < fullUntilMs && spec.tier().rank() >= fullBelowRank;
+    /** True when another router may run lower-tier work here whose preemption would let {@code spec} start. */
+    boolean othersMayPreempt(RequestSpec spec, long nowMs) {
+        boolean knownNoVictim = nowMs < noVictimUntilMs && spec.tier().rank() >= noVictimBelowRank;
         return othersInFlight > 0
-                && !knownFull
+                && !knownNoVictim
                 && inFlight() <= info.maxBatch()
                 && nowMs + firstTokenEstimateMs(spec) <= spec.firstTokenDueAtMs();
     }
@@ -160,58 +160,58 @@
         draining = true;
     }
 
-    /** Takes the engine out of routing until its agent is heard again. */
+    /** Excludes the engine from routing until the next report from its agent. */
     void markUnreachable() {
         unreachable = true;
     }
 
     /**
-     * Estimates the time from now to this request's first token here: the prompt tokens still to be
-     * prefilled ahead of it plus its own uncached ones, at the engine's prefill rate, plus one decode
-     * step, all times the slowness lately seen.
+     * Estimates the time from now to this request's first token here: the prompt tokens still to be prefilled ahead of
+     * it plus its own uncached ones, at the engine's prefill rate, plus one decode step, multiplied by the observed
+     * slowdown.
      */
     long firstTokenEstimateMs(RequestSpec spec) {
         return firstTokenEstimateMs(spec, Set.of());
     }
 
-    /** The same estimate as if the requests in {@code without} were no longer here. */
-    long firstTokenEstimateMs(RequestSpec spec, Set<String> without) {
-        return (long) (nominalFirstTokenMs(spec, without) * slowness);
+    /** The same estimate without the requests in {@code excluded}. */
+    long firstTokenEstimateMs(RequestSpec spec, Set<String> excluded) {
+        return (long) (nominalFirstTokenMs(spec, excluded) * slowness);
     }
 
     /** The estimate at the announced speed. */
-    long nominalFirstTokenMs(RequestSpec spec, Set<String> without) {
+    long nominalFirstTokenMs(RequestSpec spec, Set<String> excluded) {
         long ahead = 0;
-        for (Running r : running.values()) {
-            if (!r.firstTokenSeen() && !without.contains(r.spec().requestId())) {
+        for (RunningRequest r : running.values()) {
+            if (!r.firstTokenSeen() && !excluded.contains(r.spec().requestId())) {
                 ahead += uncachedTokens(r.spec());
             }
         }
         return prefillMs(ahead + uncachedTokens(spec)) + decodeStepMs();
     }
 
-    /** The time from dispatch to the last token at the announced speed, if it uses all its tokens. */
+    /** The time from dispatch to the last token at the announced speed, if all requested tokens are generated. */
     long nominalServiceMs(RequestSpec spec) {
         return nominalFirstTokenMs(spec, Set.of()) + spec.maxTokens() * MS_PER_SECOND / info.decodeTokensPerSecond();
     }
 
     /**
-     * When a running request is expected to end, never in the past.
+     * The expected end of a running request, never in the past.
      *
-     * @param lengthFactor how much of their estimated time requests of the pool have lately taken
+     * @param lengthFactor recent ratio of actual to estimated service time in the pool
      */
-    long expectedEndMs(Running r, double lengthFactor, long nowMs) {
+    long expectedEndMs(RunningRequest r, double lengthFactor, long nowMs) {
         long ms = (long) (r.nominalServiceMs() * slowness * lengthFactor);
         return Math.max(nowMs + 1, r.dispatchedAtMs() + ms);
     }
 
-    /** The estimate on this engine with nothing else waiting for prefill, at the announced speed. */
+    /** The first-token estimate with an empty prefill queue, at the announced speed. */
     long idleEstimateMs(RequestSpec spec) {
         return prefillMs(uncachedTokens(spec)) + decodeStepMs();
     }
 
-    /** Prompt tokens of {@code r} the engine has worked on for nothing if it is stopped now. */
-    long sunkPrefillTokens(Running r) {
+    /** Prompt tokens of {@code r} whose prefill is wasted if the request is stopped now. */
+    long lostPrefillTokens(RunningRequest r) {
         return r.firstTokenSeen() ? r.spec().promptTokens() : 0;
     }
 
@@ -224,7 +224,7 @@
     }
 
     private long uncachedTokens(RequestSpec spec) {
-        boolean cached = spec.prefixHash() != 0 && prefixes.holds(spec.prefixHash());
+        boolean cached = spec.prefixHash() != 0 && prefixes.mayContain(spec.prefixHash());
         return spec.promptTokens() - (cached ? Math.min(spec.prefixTokens(), spec.promptTokens()) : 0);
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/EngineTable.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/EngineTable.java
@@ -8,40 +8,40 @@
 import java.util.TreeMap;
 
 /**
- * The engines one router knows, by id and by pool, so a decision looks only at its own pool. Owned by
+ * The engines known to one router, indexed by id and by pool so that a decision scans only its own pool. Confined to
  * the scheduler's thread.
  */
 final class EngineTable {
 
-    private final Map<String, EngineSlot> byId = new HashMap<>();
-    private final Map<String, TreeMap<String, EngineSlot>> byPool = new HashMap<>();
+    private final Map<String, EngineState> byId = new HashMap<>();
+    private final Map<String, TreeMap<String, EngineState>> byPool = new HashMap<>();
 
-    EngineSlot get(String engineId) {
+    EngineState get(String engineId) {
         return byId.get(engineId);
     }
 
-    void put(EngineSlot slot) {
-        remove(slot.id());
-        byId.put(slot.id(), slot);
-        byPool.computeIfAbsent(slot.info().pool(), p -> new TreeMap<>()).put(slot.id(), slot);
+    void put(EngineState engine) {
+        remove(engine.id());
+        byId.put(engine.id(), engine);
+        byPool.computeIfAbsent(engine.info().pool(), p -> new TreeMap<>()).put(engine.id(), engine);
     }
 
-    EngineSlot remove(String engineId) {
-        EngineSlot slot = byId.remove(engineId);
-        if (slot != null) {
-            byPool.get(slot.info().pool()).remove(engineId);
+    EngineState remove(String engineId) {
+        EngineState engine = byId.remove(engineId);
+        if (engine != null) {
+            byPool.get(engine.info().pool()).remove(engineId);
         }
-        return slot;
+        return engine;
     }
 
-    Collection<EngineSlot> all() {
+    Collection<EngineState> all() {
         return byId.values();
     }
 
-    /** Engines of the pool that may take new work now, in id order. */
-    List<EngineSlot> usable(String pool, long nowMs, long silentMs) {
-        List<EngineSlot> out = new ArrayList<>();
-        for (EngineSlot s : byPool.getOrDefault(pool, new TreeMap<>()).values()) {
+    /** Engines of the pool that currently accept new work, in id order. */
+    List<EngineState> usable(String pool, long nowMs, long silentMs) {
+        List<EngineState> out = new ArrayList<>();
+        for (EngineState s : byPool.getOrDefault(pool, new TreeMap<>()).values()) {
             if (s.usable(nowMs, silentMs)) {
                 out.add(s);
             }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/Invariants.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/Invariants.java
@@ -1,9 +1,8 @@
 package org.onyxhinge.core.schedule;
 
 /**
- * Checks of the brief's promises made inside the program. Enabled by the system property {@code
- * onyxhinge.invariants=true} (tests and the load tool set it); a failed check throws {@link
- * InvariantViolation}.
+ * Runtime checks of the scheduler's invariants. Enabled by the system property {@code onyxhinge.invariants=true} (set
+ * by the tests and the load tool); a failed check throws {@link InvariantViolation}.
  */
 public final class Invariants {
 
@@ -11,15 +10,15 @@
 
     private Invariants() {}
 
-    /** True when checks run. */
+    /** True when checks are enabled. */
     public static boolean enabled() {
         return ENABLED;
     }
 
-    /** Throws when checks run and {@code holds} is false. */
-    public static void check(boolean holds, String promise, Object subject) {
-        if (ENABLED && !holds) {
-            throw new InvariantViolation(promise + ": " + subject);
+    /** Throws when checks are enabled and {@code condition} is false. */
+    public static void check(boolean condition, String invariant, Object subject) {
+        if (ENABLED && !condition) {
+            throw new InvariantViolation(invariant + ": " + subject);
         }
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/Preemption.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/Preemption.java
@@ -10,69 +10,76 @@
 import org.onyxhinge.core.model.RequestSpec;
 
 /**
- * Finds lower-tier work whose stopping lets a higher tier start in time, at the least cost in prefill:
- * a request already past its prefill has sunk all of it, so requests not yet started go first.
+ * Selects lower-tier requests whose preemption lets a higher-tier request start in time, at the least cost in wasted
+ * prefill: stopping a request that has finished its prefill wastes all of it, so requests without a first token are
+ * stopped first.
  */
 final class Preemption {
 
     private Preemption() {}
 
-    /** Lower-tier requests on one engine whose removal makes room. */
-    record Room(EngineSlot slot, List<Running> victims, long wastedPrefillTokens) {}
+    /** Lower-tier requests on one engine whose preemption frees enough capacity. */
+    record Plan(EngineState engine, List<RunningRequest> victims, long wastedPrefillTokens) {}
 
-    /** The cheapest room for {@code spec} on any of {@code live}, if there is one. */
-    static Optional<Room> cheapestRoom(List<EngineSlot> live, RequestSpec spec, long nowMs) {
-        Room best = null;
-        for (EngineSlot slot : live) {
-            Room room = roomOn(slot, spec, nowMs);
-            if (room != null && (best == null || room.wastedPrefillTokens() < best.wastedPrefillTokens())) {
-                best = room;
+    /** The plan for {@code spec} that wastes the fewest prefill tokens on any of {@code live}, if there is one. */
+    static Optional<Plan> cheapestPlan(List<EngineState> live, RequestSpec spec, long nowMs) {
+        Plan best = null;
+        for (EngineState engine : live) {
+            Plan plan = planFor(engine, spec, nowMs);
+            if (plan != null && (best == null || plan.wastedPrefillTokens() < best.wastedPrefillTokens())) {
+                best = plan;
             }
         }
         return Optional.ofNullable(best);
     }
 
-    /** True when stopping every lower-tier request of this router on one engine would let it start. */
-    static boolean lowerTierCouldHelp(List<EngineSlot> live, RequestSpec spec, long nowMs) {
-        for (EngineSlot slot : live) {
-            List<Running> lower = lowerTier(slot, spec);
-            if (!lower.isEmpty() && fits(slot, spec, ids(lower), nowMs)) {
+    /**
+     * True when stopping all lower-tier requests of this router on one engine would let {@code spec} start in time.
+     */
+    static boolean preemptionCouldHelp(List<EngineState> live, RequestSpec spec, long nowMs) {
+        for (EngineState engine : live) {
+            List<RunningRequest> lower = lowerTier(engine, spec);
+            if (!lower.isEmpty() && fits(engine, spec, ids(lower), nowMs)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** This router's least important request on an engine of a tier below {@code rank}, cheapest first. */
-    static Optional<Running> leastImportantBelow(EngineSlot slot, int rank) {
-        return slot.running().stream().filter(r -> r.rank() > rank).min(victimOrder(slot));
+    /**
+     * This router's request of the lowest tier below {@code rank} on an engine; within a tier, the one with the least
+     * wasted prefill.
+     */
+    static Optional<RunningRequest> leastImportantBelow(EngineState engine, int rank) {
+        return engine.running().stream().filter(r -> r.rank() > rank).min(victimOrder(engine));
     }
 
-    private static Comparator<Running> victimOrder(EngineSlot slot) {
-        return Comparator.comparingInt(Running::rank)
+    private static Comparator<RunningRequest> victimOrder(EngineState engine) {
+        return Comparator.comparingInt(RunningRequest::rank)
                 .reversed()
-                .thenComparingLong(slot::sunkPrefillTokens)
-                .thenComparing(Comparator.comparingLong(Running::dispatchedAtMs).reversed());
+                .thenComparingLong(engine::lostPrefillTokens)
+                .thenComparing(
+                        Comparator.comparingLong(RunningRequest::dispatchedAtMs).reversed());
     }
 
-    private static Room roomOn(EngineSlot slot, RequestSpec spec, long nowMs) {
-        List<Running> lower = lowerTier(slot, spec);
-        lower.sort(victimOrder(slot));
-        Set<String> without = new HashSet<>();
+    private static Plan planFor(EngineState engine, RequestSpec spec, long nowMs) {
+        List<RunningRequest> lower = lowerTier(engine, spec);
+        lower.sort(victimOrder(engine));
+        Set<String> excluded = new HashSet<>();
         long wasted = 0;
         for (int i = 0; i < lower.size(); i++) {
-            without.add(lower.get(i).spec().requestId());
-            wasted += slot.sunkPrefillTokens(lower.get(i));
-            if (fits(slot, spec, without, nowMs)) {
-                return new Room(slot, List.copyOf(lower.subList(0, i + 1)), wasted);
+            excluded.add(lower.get(i).spec().requestId());
+            wasted += engine.lostPrefillTokens(lower.get(i));
+            if (fits(engine, spec, excluded, nowMs)) {
+                return new Plan(engine, List.copyOf(lower.subList(0, i + 1)), wasted);
             }
         }
         return null;
     }
 
-    private static List<Running> lowerTier(EngineSlot slot, RequestSpec spec) {
-        List<Running> out = new ArrayList<>();
-        for (Running r : slot.running()) {
+    private static List<RunningRequest> lowerTier(EngineState engine, RequestSpec spec) {
+        List<RunningRequest> out = new ArrayList<>();
+        for (RunningRequest r : engine.running()) {
             if (r.rank() > spec.tier().rank()) {
                 out.add(r);
             }
@@ -80,13 +87,13 @@
         return out;
     }
 
-    private static boolean fits(EngineSlot slot, RequestSpec spec, Set<String> without, long nowMs) {
-        boolean slotFree = slot.running().size() - without.size() + slot.othersInFlight()
-                < slot.info().maxBatch();
-        return slotFree && nowMs + slot.firstTokenEstimateMs(spec, without) <= spec.firstTokenDueAtMs();
+    private static boolean fits(EngineState engine, RequestSpec spec, Set<String> excluded, long nowMs) {
+        boolean slotFree = engine.running().size() - excluded.size() + engine.othersInFlight()
+                < engine.info().maxBatch();
+        return slotFree && nowMs + engine.firstTokenEstimateMs(spec, excluded) <= spec.firstTokenDueAtMs();
     }
 
-    private static Set<String> ids(List<Running> running) {
+    private static Set<String> ids(List<RunningRequest> running) {
         Set<String> out = new HashSet<>();
         running.forEach(r -> out.add(r.spec().requestId()));
         return out;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/PrefixMemory.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/PrefixCacheEstimate.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * The prefix hashes an engine probably caches, least recently used first out. Fed by the router's own
- * dispatches and by late cache events with gaps, so it is a guess, never a promise.
+ * Estimate of the prefix hashes in an engine's cache, with least-recently-used eviction. It is updated from this
+ * router's own dispatches and from cache events that are late and incomplete, so it may be wrong in both directions.
  */
-final class PrefixMemory {
+final class PrefixCacheEstimate {
 
     private final LinkedHashMap<Long, Boolean> hashes;
 
-    PrefixMemory(int capacity) {
+    PrefixCacheEstimate(int capacity) {
         this.hashes = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
@@ -22,13 +22,13 @@
         };
     }
 
-    void remember(long hash) {
+    void markCached(long hash) {
         if (hash != 0) {
             hashes.put(hash, Boolean.TRUE);
         }
     }
 
-    boolean holds(long hash) {
+    boolean mayContain(long hash) {
         return hashes.containsKey(hash);
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/RefusalReason.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/RefusalReason.java
@@ -1,11 +1,11 @@
 package org.onyxhinge.core.schedule;
 
 /**
- * Why a request was refused or stopped. {@link #notRun()} is true only when no engine was given the
- * request, so a caller told "not run" may safely send it again.
+ * Why a request was refused or stopped. {@link #notRun()} is true only when the request was not given to any engine, so
+ * a caller that receives "not run" may safely send it again.
  */
 public enum RefusalReason {
-    /** The body could not be read as a request. */
+    /** The body could not be parsed as a request. */
     BAD_REQUEST(400, true),
     /** The workspace is not configured. */
     UNKNOWN_WORKSPACE(404, true),
@@ -15,11 +15,11 @@
     UNKNOWN_SERVICE(404, true),
     /** The body is larger than the router accepts. */
     TOO_LARGE(413, true),
-    /** The workspace already has its limit of requests queued or running. */
+    /** The workspace has reached its limit of queued and running requests. */
     WORKSPACE_LIMIT(429, true),
     /** The tier's queue is full. */
     QUEUE_FULL(503, true),
-    /** No live, non-leaving target serves the pool. */
+    /** No live target that is not draining serves the pool. */
     NO_TARGET(503, true),
     /** The request cannot get its first token within its tier's budget. */
     DEADLINE_UNREACHABLE(503, true),
@@ -31,13 +31,13 @@
     ALREADY_RUN(409, true),
     /** The key-value service could not record a non-idempotent request before dispatch. */
     STORE_UNAVAILABLE(503, true),
-    /** The chosen target could not be reached; the request never left the router. */
+    /** The chosen target could not be reached; no byte of the request was sent. */
     TARGET_UNREACHABLE(503, true),
-    /** The caller closed its connection before the answer was whole. */
+    /** The caller closed its connection before the response was complete. */
     CALLER_GONE(499, true),
-    /** A running request was stopped to make room for a higher tier; it was partly run. */
+    /** A running request was preempted by a higher tier; it was partly run. */
     PREEMPTED(503, false),
-    /** The target failed or vanished while the request was running; it may have been partly run. */
+    /** The target failed or disconnected while the request was running; it may have been partly run. */
     TARGET_FAILED(502, false),
     /** The request was still running at its tier's deadline and was stopped; it was partly run. */
     DEADLINE_EXCEEDED(504, false);
@@ -50,12 +50,12 @@
         this.notRun = notRun;
     }
 
-    /** The HTTP status the router answers with. */
+    /** The HTTP status of the router's response. */
     public int httpStatus() {
         return httpStatus;
     }
 
-    /** True when no engine was ever given the request. */
+    /** True when the request was not given to any engine. */
     public boolean notRun() {
         return notRun;
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/RoutingPolicy.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/RoutingPolicy.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 
 /**
- * How a router picks an engine and whether it holds work back. {@link EarliestFirstToken} is the
- * product's policy. The other two are baselines for the load tool: they hand every request to an
- * engine at once and leave the waiting to the engine's own first-come queue, as a plain balancer does.
+ * How a router selects an engine and whether it queues requests itself. {@link EarliestFirstToken} is the production
+ * policy. The other two are baselines for the load tool: they send every request to an engine at once and leave
+ * queueing to the engine's own first-come-first-served queue, as a plain load balancer does.
  */
 public sealed interface RoutingPolicy {
 
@@ -16,8 +16,8 @@
     String settingName();
 
     /**
-     * Holds work beyond each engine's batch size in queues by tier and sends a request to the engine
-     * with the earliest estimated first token, refusing at once what cannot start in time.
+     * Queues work beyond each engine's batch size by tier, sends a request to the engine with the earliest estimated
+     * first token, and immediately refuses what cannot start in time.
      */
     record EarliestFirstToken() implements RoutingPolicy {
         @Override
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Baseline: the engine with the fewest requests in progress, as far as this router knows. */
+    /** Baseline: the engine with the fewest requests in progress, as far as known to this router. */
     record LeastOutstanding() implements RoutingPolicy {
         @Override
         public String settingName() {
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Baseline: each engine in turn. */
+    /** Baseline: the engines in rotation. */
     record RoundRobin() implements RoutingPolicy {
         @Override
         public String settingName() {
@@ -42,17 +42,17 @@
         }
     }
 
-    /** Every policy, the product's own first. */
+    /** All policies, the production policy first. */
     static RoutingPolicy[] all() {
         return new RoutingPolicy[] {new EarliestFirstToken(), new LeastOutstanding(), new RoundRobin()};
     }
 
-    /** The setting values of every policy, for messages. */
+    /** The setting values of all policies, for error messages. */
     static List<String> settingNames() {
         return Arrays.stream(all()).map(RoutingPolicy::settingName).toList();
     }
 
-    /** The policy a setting names, or empty. */
+    /** The policy with this setting value, or empty. */
     static Optional<RoutingPolicy> ofSetting(String name) {
         String wanted = name.trim().toLowerCase(Locale.ROOT);
         return Arrays.stream(all()).filter(p -> p.settingName().equals(wanted)).findFirst();
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/Scheduler.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/Scheduler.java
@@ -7,37 +7,36 @@
 import org.onyxhinge.core.model.RequestSpec;
 
 /**
- * Decides, for one router, which engine serves each request, which requests wait, and which are
- * refused or stopped. Engines know no priorities, so the router holds back work beyond each engine's
- * batch size and orders it by tier itself.
+ * Decides, for one router, which engine serves each request, which requests wait, and which are refused or stopped.
+ * Engines have no notion of priority, so the router queues work beyond each engine's batch size and orders it by tier
+ * itself.
  *
- * <p>Rules, in order: a workspace at its limit is refused, unless it holds work of a lower tier that
- * can give way; a request goes to the free engine with the earliest estimated first token; when every
- * engine is full it waits if its tier's budget allows; otherwise running requests of a lower tier are
- * stopped to make room, this router's own or, through the engine's agent, another router's; otherwise
- * it is refused at once with a time to come back. Queued requests that can no longer make their budget
- * are refused as soon as that is known, never held back. Running requests past their tier's deadline
- * are stopped.
+ * <p>Rules, in order: a request of a workspace at its limit is refused, unless the workspace has work of a lower tier
+ * that can be displaced; a request goes to the engine with a free slot and the earliest estimated first token; when all
+ * engines are full, it is queued if its tier's budget allows; otherwise running requests of a lower tier are preempted,
+ * either this router's own or, through the engine's agent, another router's; otherwise it is refused at once with a
+ * retry time. Queued requests that can no longer meet their budget are refused as soon as that is known. Running
+ * requests past their tier's deadline are stopped.
  *
- * <p>A request is handed to an engine at most once, except that an adapter which could not send a
- * single byte of it says so with {@link #unsent}, and it is offered to another engine.
+ * <p>A request is dispatched at most once, with one exception: an adapter that could not send a single byte of it calls
+ * {@link #unsent}, and the request is offered to another engine.
  *
- * <p>Not thread-safe: one thread owns it. Every method takes the time, in milliseconds of a monotonic
- * clock, and returns the actions to carry out.
+ * <p>Not thread-safe: confined to one thread. Every method takes the time, in milliseconds of a monotonic clock, and
+ * returns the actions to carry out.
  */
 public final class Scheduler {
 
     private static final long NO_TARGET_RETRY_MS = 5_000;
-    private static final int FORGET_AFTER_SILENCES = 20;
+    private static final int REMOVE_AFTER_SILENT_INTERVALS = 20;
 
     private final SchedulerSettings settings;
     private final EngineTable engines = new EngineTable();
     private final TierQueues queues = new TierQueues();
-    private final RequestLedger ledger = new RequestLedger(engines);
+    private final RequestTracker tracker = new RequestTracker(engines);
     private final ServiceTimes serviceTimes = ServiceTimes.create();
-    private final RoomAsks asks = new RoomAsks();
+    private final PendingPreemptions pendingPreemptions = new PendingPreemptions();
     private int lowestRank = Integer.MAX_VALUE;
-    private long turn;
+    private long roundRobinNext;
 
     private Scheduler(SchedulerSettings settings) {
         this.settings = settings;
@@ -48,315 +47,319 @@
         return new Scheduler(settings);
     }
 
-    /** Tells which tier is the lowest configured: its requests never ask others to make room. */
+    /** Sets the rank of the lowest configured tier, whose requests never ask other routers to preempt. */
     public void lowestRank(int rank) {
         lowestRank = rank;
     }
 
-    /** Adds an engine, or refreshes it when its agent joins again. */
+    /** Adds an engine, or updates it when its agent joins again. */
     public List<Action> engineJoined(EngineInfo info, long nowMs) {
-        EngineSlot old = engines.get(info.engineId());
+        EngineState old = engines.get(info.engineId());
         if (old == null || !old.info().equals(info)) {
-            EngineSlot slot = new EngineSlot(info, settings.recentPrefixes(), nowMs);
+            EngineState engine = new EngineState(info, settings.recentPrefixes(), nowMs);
             if (old != null) {
-                old.running().forEach(slot::add);
+                old.running().forEach(engine::add);
             }
-            engines.put(slot);
+            engines.put(engine);
         }
-        return drainQueue(info.pool(), nowMs);
+        return dispatchQueued(info.pool(), nowMs);
     }
 
-    /** Takes a stale load report into account; a draining report stops new work to the engine. */
+    /** Applies a load report, which may be stale; a draining report stops new work to the engine. */
     public List<Action> engineReported(LoadReport report, long nowMs) {
-        EngineSlot slot = engines.get(report.engineId());
-        if (slot == null) {
+        EngineState engine = engines.get(report.engineId());
+        if (engine == null) {
             return List.of();
         }
-        slot.heard(report, nowMs);
-        return drainQueue(slot.info().pool(), nowMs);
+        engine.applyReport(report, nowMs);
+        return dispatchQueued(engine.info().pool(), nowMs);
     }
 
-    /** Marks an engine as leaving: it gets no new work; what runs there finishes. */
+    /** Marks an engine as draining: it gets no new work, and its running requests finish. */
     public void engineDraining(String engineId) {
-        EngineSlot slot = engines.get(engineId);
-        if (slot != null) {
-            slot.drain();
+        EngineState engine = engines.get(engineId);
+        if (engine != null) {
+            engine.drain();
         }
     }
 
     /**
-     * Admits, queues, or refuses a new request. A workspace at its limit makes room by giving up its own
-     * least important request, never a more important one.
+     * Admits, queues or refuses a new request. A workspace at its limit displaces its own least important request,
+     * never a more important one.
      */
     public List<Action> submit(RequestSpec spec, int workspaceLimit, long nowMs) {
-        int before = ledger.inFlight(spec.workspace());
-        if (before >= workspaceLimit && !holdsLowerTier(spec)) {
+        int before = tracker.inFlight(spec.workspace());
+        if (before >= workspaceLimit && !hasLowerTierWork(spec)) {
             return List.of(refuse(spec, RefusalReason.WORKSPACE_LIMIT, "workspace at its limit", retryAfterMs(spec)));
         }
         List<Action> out = new ArrayList<>(place(spec, nowMs));
-        if (ledger.inFlight(spec.workspace()) > Math.max(before, workspaceLimit)) {
+        if (tracker.inFlight(spec.workspace()) > Math.max(before, workspaceLimit)) {
             out.add(displaceLowerTier(spec));
         }
         Invariants.check(
-                ledger.inFlight(spec.workspace()) <= Math.max(before, workspaceLimit),
+                tracker.inFlight(spec.workspace()) <= Math.max(before, workspaceLimit),
                 "workspace within its limit",
                 spec.workspace());
         return out;
     }
 
-    /** True when its workspace holds a request that may give way to it; the baselines know no tiers. */
-    private boolean holdsLowerTier(RequestSpec spec) {
+    /** True when the workspace has a request that may be displaced by this one; the baseline policies ignore tiers. */
+    private boolean hasLowerTierWork(RequestSpec spec) {
         return settings.policy() instanceof RoutingPolicy.EarliestFirstToken
                 && (queues.leastImportant(spec).isPresent()
-                        || ledger.leastImportantRunning(spec).isPresent());
+                        || tracker.leastImportantRunning(spec).isPresent());
     }
 
-    /** Gives up the workspace's least important request; of one tier, a queued one before a running one. */
+    /** Displaces the workspace's least important request; within a tier, a queued one before a running one. */
     private Action displaceLowerTier(RequestSpec spec) {
         String detail = "workspace at its limit; gave way to a higher tier";
         RequestSpec queued = queues.leastImportant(spec).orElse(null);
-        Running running = ledger.leastImportantRunning(spec).orElse(null);
+        RunningRequest running = tracker.leastImportantRunning(spec).orElse(null);
         if (running == null || queued != null && queued.tier().rank() >= running.rank()) {
             queues.remove(queued.requestId());
-            ledger.forget(queued);
+            tracker.removeInFlight(queued);
             return refuse(queued, RefusalReason.WORKSPACE_LIMIT, detail, retryAfterMs(queued));
         }
-        EngineSlot slot = engines.get(running.engineId());
-        return stop(slot, running, RefusalReason.PREEMPTED, detail, retryAfterMs(running.spec()));
+        EngineState engine = engines.get(running.engineId());
+        return stop(engine, running, RefusalReason.PREEMPTED, detail, retryAfterMs(running.spec()));
     }
 
     private List<Action> place(RequestSpec spec, long nowMs) {
-        List<EngineSlot> live = engines.usable(spec.pool(), nowMs, settings.engineSilentMs());
+        List<EngineState> live = engines.usable(spec.pool(), nowMs, settings.engineSilentMs());
         if (live.isEmpty()) {
             return List.of(refuse(spec, RefusalReason.NO_TARGET, "no live target serves the pool", NO_TARGET_RETRY_MS));
         }
         return switch (settings.policy()) {
             case RoutingPolicy.EarliestFirstToken p -> admit(spec, live, nowMs);
-            case RoutingPolicy.LeastOutstanding p -> passThrough(spec, EngineChoice.leastOutstanding(live), nowMs);
-            case RoutingPolicy.RoundRobin p -> passThrough(spec, live.get((int) (turn++ % live.size())), nowMs);
+            case RoutingPolicy.LeastOutstanding p -> passThrough(spec, EngineSelection.leastOutstanding(live), nowMs);
+            case RoutingPolicy.RoundRobin p ->
+                passThrough(spec, live.get((int) (roundRobinNext++ % live.size())), nowMs);
         };
     }
 
-    private List<Action> passThrough(RequestSpec spec, EngineSlot slot, long nowMs) {
-        ledger.count(spec);
-        return List.of(dispatch(spec, slot, nowMs));
+    private List<Action> passThrough(RequestSpec spec, EngineState engine, long nowMs) {
+        tracker.addInFlight(spec);
+        return List.of(dispatch(spec, engine, nowMs));
     }
 
-    private List<Action> admit(RequestSpec spec, List<EngineSlot> live, long nowMs) {
+    private List<Action> admit(RequestSpec spec, List<EngineState> live, long nowMs) {
         long idleMs = live.stream().mapToLong(s -> s.idleEstimateMs(spec)).min().orElseThrow();
         if (idleMs > spec.tier().firstTokenBudgetMs()) {
             return List.of(
                     refuse(spec, RefusalReason.BUDGET_TOO_SMALL, "too large for the tier's first-token budget", 0));
         }
-        Optional<EngineSlot> free = fastestFree(live, spec);
+        Optional<EngineState> free = fastestFree(live, spec);
         if (free.isPresent() && nowMs + free.get().firstTokenEstimateMs(spec) <= spec.firstTokenDueAtMs()) {
-            ledger.count(spec);
+            tracker.addInFlight(spec);
             return List.of(dispatch(spec, free.get(), nowMs));
         }
         return queueOrPreempt(spec, live, nowMs);
     }
 
-    /** Notes that the request's first token has come back. */
+    /** Records that the request's first token has been received. */
     public void firstToken(String requestId, long nowMs) {
-        EngineSlot slot = ledger.slotOf(requestId);
-        if (slot != null) {
-            slot.markFirstToken(requestId, nowMs);
+        EngineState engine = tracker.engineOf(requestId);
+        if (engine != null) {
+            engine.markFirstToken(requestId, nowMs);
         }
     }
 
     /**
-     * Takes back a request of which no byte could be sent to its engine. The engine gets no new work
-     * until its agent is heard again; the request is offered to another, or refused as not run.
+     * Reverts the dispatch of a request of which no byte could be sent. The engine gets no new work until the next
+     * report from its agent; the request is offered to another engine, or refused as not run.
      */
     public List<Action> unsent(String requestId, long nowMs) {
-        EngineSlot slot = ledger.slotOf(requestId);
-        Running r = slot == null ? null : slot.remove(requestId);
+        EngineState engine = tracker.engineOf(requestId);
+        RunningRequest r = engine == null ? null : engine.remove(requestId);
         if (r == null) {
             return List.of();
         }
-        slot.markUnreachable();
-        if (ledger.takeBack(r) < settings.sendAttempts()) {
+        engine.markUnreachable();
+        if (tracker.undoDispatch(r) < settings.sendAttempts()) {
             return place(r.spec(), nowMs);
         }
         return List.of(refuse(r.spec(), RefusalReason.TARGET_UNREACHABLE, "no target could be reached; not run", 0));
     }
 
-    /** Releases a request that ended for any reason, wherever it was, and fills a freed slot. */
+    /**
+     * Removes a request that ended for any reason, in whatever state, and dispatches queued work to the freed slot.
+     */
     public List<Action> ended(String requestId, long nowMs) {
-        ledger.answered(requestId);
-        RoomAsks.Ask ask = asks.remove(requestId);
-        if (ask != null) {
-            ledger.forget(ask.spec());
+        tracker.clearSendAttempts(requestId);
+        PendingPreemptions.Pending pending = pendingPreemptions.remove(requestId);
+        if (pending != null) {
+            tracker.removeInFlight(pending.spec());
             return List.of();
         }
         RequestSpec queued = queues.remove(requestId);
         if (queued != null) {
-            ledger.forget(queued);
+            tracker.removeInFlight(queued);
             return List.of();
         }
-        EngineSlot slot = ledger.slotOf(requestId);
-        Running r = ledger.end(requestId);
+        EngineState engine = tracker.engineOf(requestId);
+        RunningRequest r = tracker.end(requestId);
         if (r == null) {
             return List.of();
         }
-        serviceTimes.ended(slot, r, nowMs - r.dispatchedAtMs());
-        return drainQueue(slot.info().pool(), nowMs);
+        serviceTimes.ended(engine, r, nowMs - r.dispatchedAtMs());
+        return dispatchQueued(engine.info().pool(), nowMs);
     }
 
     /**
-     * Stops running requests past their deadline, refuses queued ones that can no longer make their
-     * budget, fills free slots, and forgets engines long gone.
+     * Stops running requests past their deadline, refuses queued ones that can no longer meet their budget, fills free
+     * slots, and removes engines that have been silent for long.
      */
     public List<Action> tick(long nowMs) {
         List<Action> out = new ArrayList<>();
         stopOverdue(out, nowMs);
-        asks.unanswered(nowMs).forEach(id -> out.addAll(roomAnswered(id, false, nowMs)));
+        pendingPreemptions.timedOut(nowMs).forEach(id -> out.addAll(roomAnswered(id, false, nowMs)));
         for (String pool : queues.pools()) {
             if (!queues.isEmpty(pool)) {
                 out.addAll(expireQueued(pool, nowMs));
-                out.addAll(drainQueue(pool, nowMs));
+                out.addAll(dispatchQueued(pool, nowMs));
             }
         }
-        forgetGoneEngines(nowMs);
+        removeSilentEngines(nowMs);
         return out;
     }
 
     private void stopOverdue(List<Action> out, long nowMs) {
-        for (EngineSlot slot : engines.all()) {
-            for (Running r : List.copyOf(slot.running())) {
+        for (EngineState engine : engines.all()) {
+            for (RunningRequest r : List.copyOf(engine.running())) {
                 if (nowMs > r.spec().dueAtMs()) {
-                    out.add(stop(slot, r, RefusalReason.DEADLINE_EXCEEDED, "stopped at the tier's deadline", 0));
+                    out.add(stop(engine, r, RefusalReason.DEADLINE_EXCEEDED, "stopped at the tier's deadline", 0));
                 }
             }
         }
     }
 
-    private void forgetGoneEngines(long nowMs) {
-        long goneMs = settings.engineSilentMs() * FORGET_AFTER_SILENCES;
-        for (EngineSlot slot : List.copyOf(engines.all())) {
-            if (slot.ownInFlight() == 0 && slot.silentFor(goneMs, nowMs)) {
-                engines.remove(slot.id());
+    private void removeSilentEngines(long nowMs) {
+        long removeAfterMs = settings.engineSilentMs() * REMOVE_AFTER_SILENT_INTERVALS;
+        for (EngineState engine : List.copyOf(engines.all())) {
+            if (engine.ownInFlight() == 0 && engine.silentFor(removeAfterMs, nowMs)) {
+                engines.remove(engine.id());
             }
         }
     }
 
     /** A copy of the state, for the state dump. */
     public SchedulerSnapshot snapshot() {
-        return SchedulerSnapshot.of(engines, queues, ledger);
+        return SchedulerSnapshot.of(engines, queues, tracker);
     }
 
-    private List<Action> queueOrPreempt(RequestSpec spec, List<EngineSlot> live, long nowMs) {
+    private List<Action> queueOrPreempt(RequestSpec spec, List<EngineState> live, long nowMs) {
         int ahead = queues.sizeUpTo(spec.pool(), spec.tier().rank());
         long waitMs = serviceTimes.queueWaitMs(spec.pool(), live, ahead, nowMs);
         long etaMs = waitMs
                 + live.stream().mapToLong(s -> s.idleEstimateMs(spec)).min().orElse(0);
-        boolean roomInQueue = queues.size(spec.pool(), spec.tier().rank()) < settings.queueLimitPerTier();
-        if (nowMs + etaMs <= spec.firstTokenDueAtMs() && roomInQueue) {
+        boolean queueHasSpace = queues.size(spec.pool(), spec.tier().rank()) < settings.queueLimitPerTier();
+        if (nowMs + etaMs <= spec.firstTokenDueAtMs() && queueHasSpace) {
             queues.add(spec);
-            ledger.count(spec);
+            tracker.addInFlight(spec);
             return List.of();
         }
-        RefusalReason reason = roomInQueue ? RefusalReason.DEADLINE_UNREACHABLE : RefusalReason.QUEUE_FULL;
+        RefusalReason reason = queueHasSpace ? RefusalReason.DEADLINE_UNREACHABLE : RefusalReason.QUEUE_FULL;
         return preemptOrRefuse(spec, live, nowMs, reason, waitMs);
     }
 
-    /** Stops lower-tier work to make room for {@code spec}, or refuses it when that would not help. */
+    /** Preempts lower-tier work in favour of {@code spec}, or refuses {@code spec} when that would not help. */
     private List<Action> preemptOrRefuse(
-            RequestSpec spec, List<EngineSlot> live, long nowMs, RefusalReason reason, long retryAfterMs) {
-        Optional<Preemption.Room> room = Preemption.cheapestRoom(live, spec, nowMs);
-        if (room.isPresent()) {
-            return preempt(room.get(), spec, nowMs);
+            RequestSpec spec, List<EngineState> live, long nowMs, RefusalReason reason, long retryAfterMs) {
+        Optional<Preemption.Plan> plan = Preemption.cheapestPlan(live, spec, nowMs);
+        if (plan.isPresent()) {
+            return preempt(plan.get(), spec, nowMs);
         }
-        Optional<EngineSlot> shared =
-                spec.tier().rank() >= lowestRank ? Optional.empty() : EngineChoice.mayShareRoom(live, spec, nowMs);
-        if (shared.isPresent()) {
-            asks.add(spec, shared.get().id(), nowMs);
-            ledger.count(spec);
-            return List.of(new Action.AskRoom(spec, shared.get().id()));
+        Optional<EngineState> engineToAsk = spec.tier().rank() >= lowestRank
+                ? Optional.empty()
+                : EngineSelection.preemptibleByOthers(live, spec, nowMs);
+        if (engineToAsk.isPresent()) {
+            pendingPreemptions.add(spec, engineToAsk.get().id(), nowMs);
+            tracker.addInFlight(spec);
+            return List.of(new Action.AskRoom(spec, engineToAsk.get().id()));
         }
         Invariants.check(
-                !Invariants.enabled() || !Preemption.lowerTierCouldHelp(live, spec, nowMs),
+                !Invariants.enabled() || !Preemption.preemptionCouldHelp(live, spec, nowMs),
                 "no higher tier shed while a lower tier is served",
                 spec.requestId());
         return List.of(refuse(spec, reason, "every target is busy past the tier's budget", retryAfterMs));
     }
 
     /**
-     * The answer to {@link Action.AskRoom}: another router stopped a lower-tier request, or none had
-     * one, in which case the next engine is asked or the request is refused.
+     * Handles the result of {@link Action.AskRoom}: another router preempted a lower-tier request, or
+     * none had one, in which case the next engine is asked or the request is refused.
      */
     public List<Action> roomAnswered(String requestId, boolean made, long nowMs) {
-        RoomAsks.Ask ask = asks.remove(requestId);
-        if (ask == null) {
+        PendingPreemptions.Pending pending = pendingPreemptions.remove(requestId);
+        if (pending == null) {
             return List.of();
         }
-        ledger.forget(ask.spec());
-        EngineSlot slot = engines.get(ask.engineId());
-        if (slot != null && made) {
-            slot.roomMade();
-        } else if (slot != null) {
-            slot.noRoomBelow(ask.spec().tier().rank(), nowMs + settings.askAgainMs());
+        tracker.removeInFlight(pending.spec());
+        EngineState engine = engines.get(pending.engineId());
+        if (engine != null && made) {
+            engine.otherRouterPreempted();
+        } else if (engine != null) {
+            engine.noVictimBelow(pending.spec().tier().rank(), nowMs + settings.askAgainMs());
         }
-        return place(ask.spec(), nowMs);
+        return place(pending.spec(), nowMs);
     }
 
-    /** Another router needs room on an engine: stops this router's least important request below {@code rank}. */
+    /** Preempts this router's least important request below {@code rank} on an engine, on behalf of another router. */
     public Optional<Action> makeRoom(String engineId, int rank) {
-        EngineSlot slot = engines.get(engineId);
-        return slot == null
+        EngineState engine = engines.get(engineId);
+        return engine == null
                 ? Optional.empty()
-                : Preemption.leastImportantBelow(slot, rank)
+                : Preemption.leastImportantBelow(engine, rank)
                         .map(r -> stop(
-                                slot,
+                                engine,
                                 r,
                                 RefusalReason.PREEMPTED,
                                 "stopped to serve a higher tier",
                                 retryAfterMs(r.spec())));
     }
 
-    private List<Action> preempt(Preemption.Room room, RequestSpec spec, long nowMs) {
+    private List<Action> preempt(Preemption.Plan plan, RequestSpec spec, long nowMs) {
         List<Action> out = new ArrayList<>();
-        for (Running victim : room.victims()) {
+        for (RunningRequest victim : plan.victims()) {
             out.add(stop(
-                    room.slot(),
+                    plan.engine(),
                     victim,
                     RefusalReason.PREEMPTED,
                     "stopped to serve a higher tier",
                     retryAfterMs(victim.spec())));
         }
-        ledger.count(spec);
-        out.add(dispatch(spec, room.slot(), nowMs));
+        tracker.addInFlight(spec);
+        out.add(dispatch(spec, plan.engine(), nowMs));
         return out;
     }
 
-    private Action stop(EngineSlot slot, Running r, RefusalReason reason, String detail, long retryAfterMs) {
-        return ledger.stop(slot, r, Refusal.of(reason, detail, retryAfterMs));
+    private Action stop(EngineState engine, RunningRequest r, RefusalReason reason, String detail, long retryAfterMs) {
+        return tracker.stop(engine, r, Refusal.of(reason, detail, retryAfterMs));
     }
 
-    private Action dispatch(RequestSpec spec, EngineSlot slot, long nowMs) {
-        return ledger.dispatch(spec, slot, nowMs);
+    private Action dispatch(RequestSpec spec, EngineState engine, long nowMs) {
+        return tracker.dispatch(spec, engine, nowMs);
     }
 
     private Action refuse(RequestSpec spec, RefusalReason reason, String detail, long retryAfterMs) {
-        ledger.answered(spec.requestId());
+        tracker.clearSendAttempts(spec.requestId());
         return new Action.Refuse(spec, Refusal.of(reason, detail, Math.max(settings.minRetryAfterMs(), retryAfterMs)));
     }
 
-    private List<Action> drainQueue(String pool, long nowMs) {
+    private List<Action> dispatchQueued(String pool, long nowMs) {
         if (queues.isEmpty(pool)) {
             return List.of();
         }
         List<Action> out = new ArrayList<>();
-        List<EngineSlot> live = engines.usable(pool, nowMs, settings.engineSilentMs());
+        List<EngineState> live = engines.usable(pool, nowMs, settings.engineSilentMs());
         for (RequestSpec head : queues.inOrder(pool)) {
-            Optional<EngineSlot> free = fastestFree(live, head);
+            Optional<EngineState> free = fastestFree(live, head);
             if (free.isEmpty()) {
                 return out;
             }
             queues.remove(head.requestId());
-            ledger.forget(head);
+            tracker.removeInFlight(head);
             if (nowMs + free.get().firstTokenEstimateMs(head) <= head.firstTokenDueAtMs()) {
-                ledger.count(head);
+                tracker.addInFlight(head);
                 out.add(dispatch(head, free.get(), nowMs));
             } else {
                 out.addAll(preemptOrRefuse(head, live, nowMs, RefusalReason.DEADLINE_UNREACHABLE, retryAfterMs(head)));
@@ -367,7 +370,7 @@
 
     private List<Action> expireQueued(String pool, long nowMs) {
         List<Action> out = new ArrayList<>();
-        List<EngineSlot> live = engines.usable(pool, nowMs, settings.engineSilentMs());
+        List<EngineState> live = engines.usable(pool, nowMs, settings.engineSilentMs());
         for (RequestSpec spec : queues.inOrder(pool)) {
             long bestMs = live.stream()
                     .mapToLong(s -> s.firstTokenEstimateMs(spec))
@@ -375,15 +378,15 @@
                     .orElse(Long.MAX_VALUE / 2);
             if (nowMs + bestMs > spec.firstTokenDueAtMs()) {
                 queues.remove(spec.requestId());
-                ledger.forget(spec);
+                tracker.removeInFlight(spec);
                 out.addAll(preemptOrRefuse(spec, live, nowMs, RefusalReason.DEADLINE_UNREACHABLE, retryAfterMs(spec)));
             }
         }
         return out;
     }
 
-    private Optional<EngineSlot> fastestFree(List<EngineSlot> live, RequestSpec spec) {
-        return EngineChoice.fastestFree(live, spec, settings.headroomPercent());
+    private Optional<EngineState> fastestFree(List<EngineState> live, RequestSpec spec) {
+        return EngineSelection.fastestFree(live, spec, settings.headroomPercent());
     }
 
     private long retryAfterMs(RequestSpec spec) {
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/SchedulerSettings.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/SchedulerSettings.java
@@ -1,18 +1,18 @@
 package org.onyxhinge.core.schedule;
 
 /**
- * Knobs of the scheduler.
+ * Settings of the scheduler.
  *
- * @param policy how an engine is picked
- * @param queueLimitPerTier most requests one tier may queue per pool on one router
- * @param engineSilentMs how long an engine may go unheard before it is taken out of routing
- * @param minRetryAfterMs the smallest {@code Retry-After} the router tells a caller
- * @param recentPrefixes how many prefix hashes are remembered per engine
- * @param sendAttempts how many targets a request may be offered to before it is refused as unreachable;
- *     an offer counts only while no byte of the request has been sent
- * @param askAgainMs at least 1: how long an engine whose other routers had no lower-tier work is not asked again
- * @param headroomPercent how much room lower tiers leave for swings in higher ones, in percent of the
- *     square root of what those have running; 0 for none
+ * @param policy routing policy
+ * @param queueLimitPerTier maximum queued requests per tier and pool on one router
+ * @param engineSilentMs time without a report after which an engine is excluded from routing
+ * @param minRetryAfterMs minimum {@code Retry-After} returned to callers
+ * @param recentPrefixes number of recent prefix hashes kept per engine
+ * @param sendAttempts maximum number of targets a request is offered to before it is refused as unreachable; an attempt
+ *     counts only while no byte of the request has been sent
+ * @param askAgainMs at least 1: how long an engine is not asked again after its other routers had no lower-tier work
+ * @param headroomPercent headroom that lower tiers leave for fluctuations in higher ones, in percent of the square root
+ *     of the number of their running requests; 0 for none
  */
 public record SchedulerSettings(
         RoutingPolicy policy,
@@ -24,14 +24,14 @@
         long askAgainMs,
         int headroomPercent) {
 
-    /** Rejects an {@code askAgainMs} of 0, which would ask the same engine for ever. */
+    /** Rejects an {@code askAgainMs} of 0, with which the same engine would be asked in an endless loop. */
     public SchedulerSettings {
         if (askAgainMs < 1 || sendAttempts < 1) {
             throw new IllegalArgumentException("askAgainMs and sendAttempts must be at least 1");
         }
     }
 
-    /** Defaults that suit the sample workloads. */
+    /** Defaults suited to the sample workloads. */
     public static SchedulerSettings defaults() {
         return new SchedulerSettings(new RoutingPolicy.EarliestFirstToken(), 256, 3_000, 1_000, 512, 3, 200, 0);
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/SchedulerSnapshot.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/SchedulerSnapshot.java
@@ -8,23 +8,23 @@
 /**
  * A copy of the scheduler's state for the state dump.
  *
- * @param engines each known engine
- * @param queuedByPool requests waiting in the router, by pool
+ * @param engines all known engines
+ * @param queuedByPool requests queued in the router, by pool
  * @param inFlightByWorkspace requests queued or running, by workspace
  */
 public record SchedulerSnapshot(
         List<Engine> engines, Map<String, Integer> queuedByPool, Map<String, Integer> inFlightByWorkspace) {
 
     /**
-     * One engine as the scheduler sees it.
+     * The state of one engine as seen by the scheduler.
      *
      * @param engineId the engine
      * @param pool its pool
-     * @param ownInFlight requests this router runs there
-     * @param othersInFlight requests other routers run there, from the last report
-     * @param draining true once it is leaving
-     * @param slowness how many times slower than announced it has lately been, 1 or more
-     * @param lastHeardAtMs when its agent was last heard
+     * @param ownInFlight requests of this router running there
+     * @param othersInFlight requests of other routers running there, from the last report
+     * @param draining true once the engine is draining
+     * @param slowness observed slowdown factor against the announced speed, at least 1
+     * @param lastHeardAtMs time of the last report from its agent
      */
     public record Engine(
             String engineId,
@@ -35,7 +35,7 @@
             double slowness,
             long lastHeardAtMs) {
 
-        private static Engine of(EngineSlot s) {
+        private static Engine of(EngineState s) {
             return new Engine(
                     s.id(),
                     s.info().pool(),
@@ -47,13 +47,13 @@
         }
     }
 
-    static SchedulerSnapshot of(EngineTable table, TierQueues queues, RequestLedger ledger) {
+    static SchedulerSnapshot of(EngineTable table, TierQueues queues, RequestTracker tracker) {
         List<Engine> engines = table.all().stream()
                 .map(Engine::of)
                 .sorted(Comparator.comparing(Engine::engineId))
                 .toList();
         Map<String, Integer> queued = new TreeMap<>();
         queues.forEachPool(e -> queued.put(e.getKey(), e.getValue()));
-        return new SchedulerSnapshot(engines, queued, new TreeMap<>(ledger.inFlightByWorkspace()));
+        return new SchedulerSnapshot(engines, queued, new TreeMap<>(tracker.inFlightByWorkspace()));
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/ServiceTimes.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/ServiceTimes.java
@@ -6,10 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * What requests of each pool have lately taken, and from it how long one that joins the queue now waits
- * for a slot. Owned by the scheduler's thread.
- */
+/** Recent service times per pool, and the queueing delay estimated from them. Confined to the scheduler's thread. */
 final class ServiceTimes {
 
     private static final double WEIGHT = 0.1;
@@ -24,10 +21,10 @@
         return new ServiceTimes();
     }
 
-    /** A request ended; {@code elapsedMs} after its dispatch. */
-    void ended(EngineSlot slot, Running r, long elapsedMs) {
-        String pool = slot.info().pool();
-        double lengthFactor = elapsedMs / Math.max(1, r.nominalServiceMs() * slot.slowness());
+    /** Records a request that ended {@code elapsedMs} after its dispatch. */
+    void ended(EngineState engine, RunningRequest r, long elapsedMs) {
+        String pool = engine.info().pool();
+        double lengthFactor = elapsedMs / Math.max(1, r.nominalServiceMs() * engine.slowness());
         meanMsByPool.merge(pool, (double) elapsedMs, ServiceTimes::smoothed);
         lengthFactorByPool.merge(pool, Math.min(1, lengthFactor), ServiceTimes::smoothed);
     }
@@ -38,16 +35,16 @@
     }
 
     /**
-     * Estimates how long a request waits for a slot with {@code ahead} others queued before it: until as
-     * many running requests have ended. Others' requests, of which only the number is known, are taken
-     * to end after the mean time.
+     * Estimates how long a request with {@code ahead} others queued before it waits for a slot: until as many running
+     * requests have ended. Requests of other routers, of which only the number is known, are assumed to end after the
+     * mean service time.
      */
-    long queueWaitMs(String pool, List<EngineSlot> live, int ahead, long nowMs) {
+    long queueWaitMs(String pool, List<EngineState> live, int ahead, long nowMs) {
         double lengthFactor = lengthFactorByPool.getOrDefault(pool, 1.0);
         List<Long> endsAtMs = new ArrayList<>();
-        for (EngineSlot slot : live) {
-            slot.running().forEach(r -> endsAtMs.add(slot.expectedEndMs(r, lengthFactor, nowMs)));
-            for (int i = 0; i < slot.othersInFlight(); i++) {
+        for (EngineState engine : live) {
+            engine.running().forEach(r -> endsAtMs.add(engine.expectedEndMs(r, lengthFactor, nowMs)));
+            for (int i = 0; i < engine.othersInFlight(); i++) {
                 endsAtMs.add(nowMs + meanMs(pool));
             }
         }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/TierQueues.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/TierQueues.java
@@ -14,8 +14,8 @@
 import org.onyxhinge.core.model.RequestSpec;
 
 /**
- * The requests a router holds back, first come first served within each tier of each pool. Owned by
- * the scheduler's thread.
+ * The queued requests of a router, first come first served within each tier of each pool. Confined to the scheduler's
+ * thread.
  */
 final class TierQueues {
 
@@ -27,7 +27,7 @@
         byId.put(spec.requestId(), spec);
     }
 
-    /** Takes a queued request out; null when it is not queued. */
+    /** Removes a queued request; null when it is not queued. */
     RequestSpec remove(String requestId) {
         RequestSpec spec = byId.remove(requestId);
         if (spec != null) {
@@ -36,7 +36,7 @@
         return spec;
     }
 
-    /** The newest queued request of the lowest tier below {@code spec}'s, in its workspace. */
+    /** The newest queued request of the workspace in its lowest tier below that of {@code spec}. */
     Optional<RequestSpec> leastImportant(RequestSpec spec) {
         return byId.values().stream()
                 .filter(q -> q.workspace().equals(spec.workspace()))
@@ -50,14 +50,14 @@
         return queue(pool, rank).size();
     }
 
-    /** Requests of a pool that go before a new one of {@code rank}. */
+    /** Number of requests in a pool that are served before a new one of {@code rank}. */
     int sizeUpTo(String pool, int rank) {
         return ranks(pool).headMap(rank, true).values().stream()
                 .mapToInt(ArrayDeque::size)
                 .sum();
     }
 
-    /** The queued requests of a pool, most important tier first; a copy. */
+    /** A copy of the queued requests of a pool, most important tier first. */
     List<RequestSpec> inOrder(String pool) {
         List<RequestSpec> out = new ArrayList<>();
         ranks(pool).values().forEach(out::addAll);
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/subset/Rendezvous.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/subset/Rendezvous.java
@@ -8,16 +8,16 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Highest-random-weight (rendezvous) hashing, after Thaler and Ravishankar, "Using name-based mappings
- * to increase hit rates" (IEEE/ACM ToN 1998). Each owner ranks the candidates by a hash of both names
- * and takes the first few, so every owner gets exactly that many, owners spread over the candidates,
- * and one candidate coming or going changes at most one choice of an owner.
+ * Highest-random-weight (rendezvous) hashing, after Thaler and Ravishankar, "Using name-based mappings to increase hit
+ * rates" (IEEE/ACM ToN 1998). Each owner ranks the candidates by a hash of both names and takes the first few. Every
+ * owner gets exactly that many, owners are spread over the candidates, and adding or removing one candidate changes at
+ * most one choice of an owner.
  */
 public final class Rendezvous {
 
     private Rendezvous() {}
 
-    /** The {@code n} candidates that rank first for {@code owner}; all of them when there are no more. */
+    /** The {@code n} candidates that rank first for {@code owner}; all candidates when there are no more than that. */
     public static List<String> choose(String owner, Collection<String> candidates, int n) {
         return candidates.stream()
                 .sorted(Comparator.comparingLong((String c) -> weight(owner, c))
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/subset/package-info.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/subset/package-info.java
@@ -1,2 +1,2 @@
-/** Which engines a router listens to when there are more than it can follow. */
+/** Selection of the engines that a router follows when there are more than it can follow. */
 package org.onyxhinge.core.subset;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/text/Tokens.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/text/Tokens.java
@@ -4,8 +4,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * The token measure onyxhinge and its engine stand-ins share: one token per whitespace-separated word.
- * Real engines count differently; the router only needs a measure proportional to prefill work.
+ * The token estimate shared by onyxhinge and its engine stand-ins: one token per whitespace-separated word. Real
+ * engines use other tokenizers; the router only needs a measure proportional to prefill work.
  */
 public final class Tokens {
 
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/engine/EngineModelTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/engine/EngineModelTest.java
@@ -23,10 +23,10 @@
         return EngineRun.of(List.of(new PromptPart(nextPart++, promptTokens)), outputTokens);
     }
 
-    /** Runs steps until a request is whole; returns the time that took. */
-    private double untilWhole(EngineRun run) {
+    /** Runs steps until a request has finished; returns the total duration. */
+    private double runUntilFinished(EngineRun run) {
         double ms = 0;
-        while (!run.whole()) {
+        while (!run.finished()) {
             ms += engine.step().tookMs();
         }
         return ms;
@@ -36,31 +36,31 @@
     class Batching {
 
         @Test
-        void aRequestAloneReadsItsPromptInChunksAndMakesATokenAStep() {
+        void singleRequestPrefillsInChunksAndGeneratesOneTokenPerStep() {
             EngineRun run = run(1_000, 10);
             engine.submit(run);
-            assertThat(untilWhole(run), closeTo(1_000 / 50.0 + 10 * 2, 1e-9));
+            assertThat(runUntilFinished(run), closeTo(1_000 / 50.0 + 10 * 2, 1e-9));
         }
 
         @Test
-        void eachFurtherRequestMakesEveryStepLonger() {
+        void eachAdditionalRequestLengthensEveryStep() {
             EngineRun first = run(500, 10);
             engine.submit(first);
             engine.submit(run(500, 50));
-            double both = untilWhole(first);
+            double both = runUntilFinished(first);
             assertThat(both, greaterThan(500 / 50.0 + 10 * 2 + 9 * 0.5));
             assertThat(both, lessThan(2 * (500 / 50.0 + 10 * 2)));
         }
 
         @Test
-        void aLongPromptSlowsTheOthersByAChunkAStepAndNoMore() {
+        void longPromptDelaysTheOthersByOneChunkPerStep() {
             EngineRun first = run(10, 100);
             engine.submit(first);
             engine.step();
             engine.submit(run(5_000, 10));
             EngineStep step = engine.step();
             assertThat(step.tookMs(), closeTo(2 + 500 / 50.0, 1e-9));
-            assertThat(first.made(), is(1));
+            assertThat(first.generatedTokens(), is(1));
         }
 
         @Test
@@ -74,22 +74,22 @@
             engine.step();
             assertThat(engine.running(), is(3));
             assertThat(engine.waiting(), is(2));
-            untilWhole(runs.getFirst());
-            assertThat(runs.get(4).made(), is(0));
-            untilWhole(runs.get(4));
+            runUntilFinished(runs.getFirst());
+            assertThat(runs.get(4).generatedTokens(), is(0));
+            runUntilFinished(runs.get(4));
         }
 
         @Test
-        void anEventHoldsSeveralTokensTheFirstComesWithTheFirstToken() {
+        void eventsHoldSeveralTokensAndTheFirstIsSentWithTheFirstToken() {
             EngineRun run = run(10, 14);
             engine.submit(run);
-            List<Integer> madeAtEvents = new ArrayList<>();
-            while (!run.whole()) {
+            List<Integer> generatedAtEvents = new ArrayList<>();
+            while (!run.finished()) {
                 if (!engine.step().events().isEmpty()) {
-                    madeAtEvents.add(run.made());
+                    generatedAtEvents.add(run.generatedTokens());
                 }
             }
-            assertThat(madeAtEvents, is(List.of(1, 7, 13, 14)));
+            assertThat(generatedAtEvents, is(List.of(1, 7, 13, 14)));
         }
 
         @Test
@@ -106,44 +106,44 @@
     class Memory {
 
         @Test
-        void whatIsKeptOfAPromptIsNotReadAgain() {
+        void cachedPromptPartsAreNotPrefilledAgain() {
             List<PromptPart> prompt = List.of(new PromptPart(1, 600), new PromptPart(2, 400));
             EngineRun first = EngineRun.of(prompt, 5);
             engine.submit(first);
-            untilWhole(first);
+            runUntilFinished(first);
             EngineRun longer = EngineRun.of(List.of(prompt.get(0), prompt.get(1), new PromptPart(3, 100)), 5);
             engine.submit(longer);
-            untilWhole(longer);
-            assertThat(engine.promptTokensRead(), is(1_100L));
+            runUntilFinished(longer);
+            assertThat(engine.prefilledTokens(), is(1_100L));
         }
 
         @Test
-        void theLeastRecentlyUsedPartsYield() {
+        void leastRecentlyUsedPartsAreEvicted() {
             EngineModel small = EngineModel.create(new EngineSpec(1, 5, 2, 0, 50, 10_000, 1, 2_500));
             for (long id : new long[] {1, 2, 1, 3, 1, 2}) {
                 EngineRun run = EngineRun.of(List.of(new PromptPart(id, 1_000)), 1);
                 small.submit(run);
-                while (!run.whole()) {
+                while (!run.finished()) {
                     small.step();
                 }
             }
-            // Part 1 stays in use and is read once; part 2 yields to part 3 and is read twice.
-            assertThat(small.promptTokensRead(), is(4_000L));
+            // Part 1 stays in use and is prefilled once; part 2 is evicted for part 3 and prefilled twice.
+            assertThat(small.prefilledTokens(), is(4_000L));
         }
 
         @Test
-        void whenMemoryRunsOutTheNewestIsPutBackAndReadAgain() {
+        void newestRequestIsPreemptedAndPrefilledAgainWhenMemoryRunsOut() {
             EngineModel small = EngineModel.create(new EngineSpec(2, 5, 2, 0, 50, 10_000, 1, 1_100));
             EngineRun older = run(500, 100);
             EngineRun newer = run(500, 100);
             small.submit(older);
             small.submit(newer);
-            while (!older.whole()) {
+            while (!older.finished()) {
                 small.step();
             }
-            assertThat(newer.whole(), is(false));
-            assertThat(newer.readInVain(), greaterThan(500));
-            while (!newer.whole()) {
+            assertThat(newer.finished(), is(false));
+            assertThat(newer.recomputedTokens(), greaterThan(500));
+            while (!newer.finished()) {
                 small.step();
             }
         }
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/limit/RetryBudgetProperties.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/limit/RetryBudgetProperties.java
@@ -11,7 +11,7 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
-/** A service whose every answer fails: over all routers, repeats stay within the shared budget in any window. */
+/** When every answer of a service fails, retries over all routers stay within the shared budget in any window. */
 class RetryBudgetProperties {
 
     private static final double RATIO = 0.2;
@@ -19,7 +19,7 @@
     private static final long WINDOW_MS = 10_000;
 
     @Property(tries = 50, seed = "17")
-    void repeatsStayWithinTheBudgetInAnyWindow(
+    void retriesStayWithinTheBudgetInAnyWindow(
             @ForAll @IntRange(min = 1, max = 31) int routers,
             @ForAll @IntRange(min = 1, max = 40) int requestsPerSecond,
             @ForAll long seed) {
@@ -29,21 +29,21 @@
             budgets.add(RetryBudget.create(RATIO, ALLOWANCE, WINDOW_MS));
         }
         List<Long> requests = new ArrayList<>();
-        List<Long> repeats = new ArrayList<>();
+        List<Long> retries = new ArrayList<>();
         for (long nowMs = 0; nowMs < 40_000; nowMs += 10) {
             for (RetryBudget b : budgets) {
                 if (random.nextInt(100) < requestsPerSecond) {
                     b.requested("s", nowMs);
                     requests.add(nowMs);
                     if (b.tryRepeat("s", routers, nowMs)) {
-                        repeats.add(nowMs);
+                        retries.add(nowMs);
                     }
                 }
             }
         }
         for (long end = WINDOW_MS; end < 40_000; end += 100) {
             double bound = RATIO * Math.max(count(requests, end), count(requests, end - WINDOW_MS / 2)) + ALLOWANCE;
-            assertThat((double) count(repeats, end), lessThanOrEqualTo(bound));
+            assertThat((double) count(retries, end), lessThanOrEqualTo(bound));
         }
     }
 
