--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/limit/SharedQuotaProperties.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/limit/SharedQuotaProperties.java
@@ -20,9 +20,9 @@
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
 /**
- * A workspace that sends several times its quota to several routers, whose messages are late or lost, and
- * which lose sight of each other: in no window do they together let through more than the operators'
- * tolerance of a tenth and what is sent within two message delays.
+ * A workspace sends several times its quota to several routers, whose messages are delayed or lost and which are
+ * partitioned from each other: in no window do the routers together admit more than the limit plus the operators'
+ * tolerance of 10 % and what is sent within two message delays.
  */
 class SharedQuotaProperties {
 
@@ -32,26 +32,26 @@
     private static final long UNITS = 500;
     private static final long LIMIT = (long) (PER_SECOND * WINDOW_MS / 1_000 + BURST);
     private static final double TOLERANCE = 1.1;
-    /** What a workspace usually asks for: the users set limits at 1.8 times that. */
-    private static final double USUAL_PER_SECOND = PER_SECOND / 1.8;
+    /** Typical load of a workspace: the users set limits at 1.8 times that. */
+    private static final double TYPICAL_PER_SECOND = PER_SECOND / 1.8;
 
     private static final long STEP_MS = 10;
 
-    /** One router: its quota, its running total as last sent, and messages on their way to it. */
+    /** One router: its quota, its incarnation, and the messages in transit to it. */
     private static final class Router {
         private SharedQuota quota;
-        private int life;
+        private int incarnation;
         private final Deque<long[]> inbox = new ArrayDeque<>();
-        private final Set<Long> heardFrom = new HashSet<>();
+        private final Set<Long> knownPeers = new HashSet<>();
 
         void restart() {
-            life++;
+            incarnation++;
             inbox.clear();
-            heardFrom.clear();
+            knownPeers.clear();
         }
     }
 
-    private record Taken(long atMs, long units) {}
+    private record Admission(long atMs, long units) {}
 
     @Property(tries = 40, seed = "411")
     void routersTogetherStayWithinTheLimit(
@@ -66,33 +66,36 @@
             r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
             all.add(r);
         }
-        List<Taken> taken = new ArrayList<>();
+        List<Admission> admitted = new ArrayList<>();
         for (long nowMs = 0; nowMs < 30_000; nowMs += STEP_MS) {
-            // Halfway through the first router is cut off from all others for six seconds.
-            boolean cut = partitioned && routers > 1 && nowMs > 12_000 && nowMs < 18_000;
-            boolean noticed = partitioned && routers > 1 && nowMs > 12_000 + 1_500 && nowMs < 18_000;
+            // For six seconds in the middle of the run, the first router is partitioned from all others.
+            boolean partitionActive = partitioned && routers > 1 && nowMs > 12_000 && nowMs < 18_000;
+            boolean partitionDetected = partitioned && routers > 1 && nowMs > 12_000 + 1_500 && nowMs < 18_000;
             for (int i = 0; i < routers; i++) {
                 Router r = all.get(i);
                 deliver(r, nowMs, delayMs);
-                double heard = !noticed ? 1 : i == 0 ? 1.0 / routers : (routers - 1.0) / routers;
-                if (random.nextInt(3) == 0 && r.quota.tryTake(UNITS, 0, heard, nowMs)) {
-                    taken.add(new Taken(nowMs, UNITS));
+                double heardFraction = !partitionDetected ? 1 : i == 0 ? 1.0 / routers : (routers - 1.0) / routers;
+                if (random.nextInt(3) == 0 && r.quota.tryTake(UNITS, 0, heardFraction, nowMs)) {
+                    admitted.add(new Admission(nowMs, UNITS));
                 }
                 if (nowMs % 60 == 0) {
-                    tellOthers(all, i, nowMs, cut);
+                    sendToPeers(all, i, nowMs, partitionActive);
                 }
             }
         }
-        long unseen = routers * UNITS * (2L * delayMs + 120) / STEP_MS / 3;
-        long beforeNoticed = partitioned ? (long) (PER_SECOND * 1.5 / routers) + LIMIT / 4 : 0;
-        assertThat(most(taken), lessThanOrEqualTo((long) (LIMIT * TOLERANCE) + unseen + beforeNoticed));
-        assertThat("the quota is used, not refused", most(taken), greaterThan(LIMIT * 3 / 4));
+        long unreported = routers * UNITS * (2L * delayMs + 120) / STEP_MS / 3;
+        long beforeDetection = partitioned ? (long) (PER_SECOND * 1.5 / routers) + LIMIT / 4 : 0;
+        assertThat(maxInWindow(admitted), lessThanOrEqualTo((long) (LIMIT * TOLERANCE) + unreported + beforeDetection));
+        assertThat("most of the quota can be used", maxInWindow(admitted), greaterThan(LIMIT * 3 / 4));
     }
 
-    /** A workspace at several times its quota while all routers are killed at once and come back in a second. */
+    /**
+     * All routers are killed at once under a workspace's typical load or several times its quota, and restart within a
+     * second.
+     */
     @Property(tries = 30, seed = "412")
-    void routersThatAllRestartStayWithinTheLimitAndServeTheUsualAtOnce(
-            @ForAll @IntRange(min = 1, max = 6) int routers, @ForAll boolean pressed, @ForAll long seed) {
+    void restartOfAllRoutersStaysWithinTheLimitAndServesTypicalLoad(
+            @ForAll @IntRange(min = 1, max = 6) int routers, @ForAll boolean overloaded, @ForAll long seed) {
         Random random = new Random(seed);
         List<Router> all = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
@@ -100,12 +103,12 @@
             r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
             all.add(r);
         }
-        List<Taken> taken = new ArrayList<>();
-        int refusedAfter = 0;
+        List<Admission> admitted = new ArrayList<>();
+        int refusedAfterRestart = 0;
         for (long nowMs = 0; nowMs < 30_000; nowMs += STEP_MS) {
             if (nowMs == 12_000) {
                 for (Router r : all) {
-                    r.life++;
+                    r.incarnation++;
                     r.inbox.clear();
                 }
             }
@@ -115,41 +118,41 @@
                     r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.Unknown(), nowMs);
                 }
             }
-            // Usual: a workspace asks for 1 / 1.8 of its rate; pressed: several times its rate.
-            double perStep = (pressed ? 4 : 1 / 1.8) * PER_SECOND * STEP_MS / 1_000 / routers / UNITS;
+            // Typical load is 1 / 1.8 of the rate; overload is four times the rate.
+            double perStep = (overloaded ? 4 : 1 / 1.8) * PER_SECOND * STEP_MS / 1_000 / routers / UNITS;
             for (int i = 0; i < routers && !down; i++) {
                 Router r = all.get(i);
                 deliver(r, nowMs, 20);
-                double heard = nowMs >= 13_000 && nowMs < 13_100 ? 1.0 / routers : 1;
+                double heardFraction = nowMs >= 13_000 && nowMs < 13_100 ? 1.0 / routers : 1;
                 if (random.nextDouble() < perStep) {
-                    if (r.quota.tryTake(UNITS, 0, heard, nowMs)) {
-                        taken.add(new Taken(nowMs, UNITS));
+                    if (r.quota.tryTake(UNITS, 0, heardFraction, nowMs)) {
+                        admitted.add(new Admission(nowMs, UNITS));
                     } else {
-                        refusedAfter += nowMs > 14_500 ? 1 : 0;
+                        refusedAfterRestart += nowMs > 14_500 ? 1 : 0;
                     }
                 }
                 if (nowMs % 60 == 0) {
-                    tellOthers(all, i, nowMs, false);
+                    sendToPeers(all, i, nowMs, false);
                 }
             }
         }
-        assertThat(most(taken), lessThanOrEqualTo((long) (LIMIT * TOLERANCE) + 10 * UNITS));
-        if (!pressed) {
-            assertThat("the usual is not refused", refusedAfter, is(0));
+        assertThat(maxInWindow(admitted), lessThanOrEqualTo((long) (LIMIT * TOLERANCE) + 10 * UNITS));
+        if (!overloaded) {
+            assertThat("typical load is not refused", refusedAfterRestart, is(0));
         }
     }
 
     /**
-     * A workspace at several times its quota while all routers of a large fleet are killed at once and come back in
-     * waves, as fast and slow VMs do: those of a later wave must not spend again what the earlier ones have spent.
+     * All routers of a large fleet are killed at once under several times the quota and restart in waves, as fast and
+     * slow VMs do: routers of a later wave must not spend again what earlier ones have spent.
      */
     @Property(tries = 30, seed = "414")
-    void routersThatComeBackInWavesStayWithinTheLimit(
+    void routersRestartedInWavesStayWithinTheLimit(
             @ForAll @IntRange(min = 6, max = 21) int routers,
             @ForAll @IntRange(min = 2, max = 4) int waves,
-            @ForAll @IntRange(min = 6, max = 24) int tellSteps,
+            @ForAll @IntRange(min = 6, max = 24) int reportIntervalSteps,
             @ForAll long seed) {
-        long tellMs = tellSteps * STEP_MS;
+        long reportIntervalMs = reportIntervalSteps * STEP_MS;
         Random random = new Random(seed);
         List<Router> all = new ArrayList<>();
         long[] backAtMs = new long[routers];
@@ -159,7 +162,7 @@
             all.add(r);
             backAtMs[i] = 12_800 + (long) (i % waves) * 700;
         }
-        List<Taken> taken = new ArrayList<>();
+        List<Admission> admitted = new ArrayList<>();
         for (long nowMs = 0; nowMs < 30_000; nowMs += STEP_MS) {
             int up = 0;
             for (int i = 0; i < routers; i++) {
@@ -175,42 +178,42 @@
                     continue;
                 }
                 deliver(r, nowMs, 20);
-                // A router that is down refuses connections and is not waited for.
-                double heard = nowMs < 12_000 ? 1 : Math.min(1, (1.0 + r.heardFrom.size()) / up);
+                // A router that is down refuses connections and is not counted as expected.
+                double heardFraction = nowMs < 12_000 ? 1 : Math.min(1, (1.0 + r.knownPeers.size()) / up);
                 double perStep = 4 * PER_SECOND * STEP_MS / 1_000 / up / UNITS;
-                if (random.nextDouble() < perStep && r.quota.tryTake(UNITS, 0, heard, nowMs)) {
-                    taken.add(new Taken(nowMs, UNITS));
+                if (random.nextDouble() < perStep && r.quota.tryTake(UNITS, 0, heardFraction, nowMs)) {
+                    admitted.add(new Admission(nowMs, UNITS));
                 }
-                if (nowMs % tellMs == 0 && (nowMs < 12_000 || nowMs >= backAtMs[i] + 100)) {
-                    tellOthers(all, i, nowMs, false);
+                if (nowMs % reportIntervalMs == 0 && (nowMs < 12_000 || nowMs >= backAtMs[i] + 100)) {
+                    sendToPeers(all, i, nowMs, false);
                 }
             }
         }
-        // Four times the rate goes unseen between two messages.
-        long unseen = (long) (4 * PER_SECOND * (tellMs + 20 + STEP_MS) / 1_000);
-        assertThat(most(taken), lessThanOrEqualTo((long) (LIMIT * TOLERANCE) + 10 * UNITS + unseen));
+        // Load at four times the rate goes unreported between two messages.
+        long unreported = (long) (4 * PER_SECOND * (reportIntervalMs + 20 + STEP_MS) / 1_000);
+        assertThat(maxInWindow(admitted), lessThanOrEqualTo((long) (LIMIT * TOLERANCE) + 10 * UNITS + unreported));
     }
 
     /**
-     * All routers are killed and come back within 1.7 s of the last record of what was used. Callers who were cut off
-     * come back with the others, so that a workspace at its usual rate asks for three times that for a second.
+     * All routers are killed and restart within 1.7 s of the last usage record. Disconnected callers reconnect
+     * together, so a workspace at its typical rate sends three times that for a second.
      */
     @Test
-    void withARecordTheUsualIsServedAtOnceAfterARestartOfAll() {
-        long used = (long) (USUAL_PER_SECOND * WINDOW_MS / 1_000);
+    void recordedUsageAvoidsRefusalsOfTypicalLoadAfterRestartOfAllRouters() {
+        long used = (long) (TYPICAL_PER_SECOND * WINDOW_MS / 1_000);
         PastUse recorded = new PastUse.Recorded(used, 1_700, 1_700, LIMIT / 20);
         double withRecord = 0;
         double without = 0;
         int seeds = 40;
         for (int seed = 1; seed <= seeds; seed++) {
-            withRecord += refusedPart(recorded, 1 + seed % 6, seed) / seeds;
-            without += refusedPart(new PastUse.Unknown(), 1 + seed % 6, seed) / seeds;
+            withRecord += refusedFraction(recorded, 1 + seed % 6, seed) / seeds;
+            without += refusedFraction(new PastUse.Unknown(), 1 + seed % 6, seed) / seeds;
         }
         assertThat(withRecord, lessThanOrEqualTo(0.03));
         assertThat(without, greaterThan(3 * withRecord));
     }
 
-    private static double refusedPart(PastUse past, int routers, long seed) {
+    private static double refusedFraction(PastUse past, int routers, long seed) {
         Random random = new Random(seed);
         List<Router> all = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
@@ -221,104 +224,105 @@
         int refused = 0;
         int asked = 0;
         for (long nowMs = 0; nowMs < 10_000; nowMs += STEP_MS) {
-            double perStep = (nowMs < 1_000 ? 3.0 : 1.0) * USUAL_PER_SECOND * STEP_MS / 1_000 / routers / UNITS;
+            double perStep = (nowMs < 1_000 ? 3.0 : 1.0) * TYPICAL_PER_SECOND * STEP_MS / 1_000 / routers / UNITS;
             for (int i = 0; i < routers; i++) {
                 Router r = all.get(i);
                 deliver(r, nowMs, 20);
-                double heard = nowMs < 200 ? 1.0 / routers : 1;
+                double heardFraction = nowMs < 200 ? 1.0 / routers : 1;
                 if (random.nextDouble() < perStep) {
                     asked++;
-                    refused += r.quota.tryTake(UNITS, 0, heard, nowMs) ? 0 : 1;
+                    refused += r.quota.tryTake(UNITS, 0, heardFraction, nowMs) ? 0 : 1;
                 }
                 if (nowMs % 60 == 0) {
-                    tellOthers(all, i, nowMs, false);
+                    sendToPeers(all, i, nowMs, false);
                 }
             }
         }
         return (double) refused / asked;
     }
 
-    /** A workspace that was quiet sends all it may right after the last record, and goes on after the restart. */
+    /** An idle workspace sends all that is allowed right after the last record, and continues after the restart. */
     @Property(tries = 30, seed = "416")
-    void whatWasUsedAfterTheRecordCannotBeUsedAgain(
-            @ForAll @IntRange(min = 0, max = 100) int usualPercent,
+    void usageAfterTheRecordIsNotAvailableAgain(
+            @ForAll @IntRange(min = 0, max = 100) int typicalPercent,
             @ForAll @IntRange(min = 100, max = 3_000) int ageMs,
             @ForAll long seed) {
         Random random = new Random(seed);
         SharedQuota before = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
-        List<Taken> taken = new ArrayList<>();
-        long record = 0;
+        List<Admission> admitted = new ArrayList<>();
+        long recordedUnits = 0;
         long recordedAtMs = 20_000;
         for (long nowMs = 0; nowMs < 30_000; nowMs += STEP_MS) {
             if (nowMs == recordedAtMs) {
-                record = before.usedInWindow(nowMs);
+                recordedUnits = before.usedInWindow(nowMs);
             }
             SharedQuota quota = before;
             if (nowMs == recordedAtMs + ageMs / STEP_MS * STEP_MS) {
-                PastUse past = new PastUse.Recorded(record, ageMs, ageMs, LIMIT / 20);
+                PastUse past = new PastUse.Recorded(recordedUnits, ageMs, ageMs, LIMIT / 20);
                 before = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, past, nowMs);
                 quota = before;
             }
-            double part = nowMs < recordedAtMs ? usualPercent / 100.0 : 4;
-            double perStep = part * PER_SECOND * STEP_MS / 1_000 / UNITS;
+            double demand = nowMs < recordedAtMs ? typicalPercent / 100.0 : 4;
+            double perStep = demand * PER_SECOND * STEP_MS / 1_000 / UNITS;
             for (double left = perStep; left > 0; left--) {
                 if (random.nextDouble() < left && quota.tryTake(UNITS, 0, 1, nowMs)) {
-                    taken.add(new Taken(nowMs, UNITS));
+                    admitted.add(new Admission(nowMs, UNITS));
                 }
             }
         }
-        assertThat(most(taken), lessThanOrEqualTo((long) (LIMIT * TOLERANCE)));
+        assertThat(maxInWindow(admitted), lessThanOrEqualTo((long) (LIMIT * TOLERANCE)));
     }
 
     /**
-     * Power is lost while a workspace sends all it may, up to two writes of the record after the last one; it is back
-     * a while later, and the time of day has been stepped on the VM that wrote the record or on the one that reads it.
+     * Power fails under twice the quota's rate, up to two write intervals of the record after the last write, and
+     * returns later; meanwhile the wall clock has been stepped on the VM that wrote the record or on the one that reads
+     * it.
      */
     @Property(tries = 200, seed = "417")
-    void aStepOfTheTimeOfDayLetsNothingBeUsedTwice(
+    void clockStepDoesNotMakeUsedUnitsAvailableAgain(
             @ForAll @IntRange(min = 0, max = 1_000) int unrecordedMs,
             @ForAll @IntRange(min = 100, max = 3_000) int downMs,
             @ForAll @IntRange(min = -2_900, max = 2_900) int stepMs,
             @ForAll long seed) {
         Random random = new Random(seed);
         SharedQuota quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
-        List<Taken> taken = new ArrayList<>();
-        long record = 0;
+        List<Admission> admitted = new ArrayList<>();
+        long recordedUnits = 0;
         long recordedAtMs = 20_000;
         long lostAtMs = recordedAtMs + unrecordedMs;
         long backAtMs = (lostAtMs + downMs) / STEP_MS * STEP_MS;
         for (long nowMs = 0; nowMs < 32_000; nowMs += STEP_MS) {
             if (nowMs == recordedAtMs) {
-                record = quota.usedInWindow(nowMs);
+                recordedUnits = quota.usedInWindow(nowMs);
             }
             if (nowMs == backAtMs) {
                 long ageMs = backAtMs - recordedAtMs + stepMs;
-                PastUse past = PastUse.recorded(record, ageMs, 0, WINDOW_MS, LIMIT / 20);
+                PastUse past = PastUse.recorded(recordedUnits, ageMs, 0, WINDOW_MS, LIMIT / 20);
                 quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, past, nowMs);
             }
             boolean up = nowMs < lostAtMs || nowMs >= backAtMs;
             double perStep = 2 * PER_SECOND * STEP_MS / 1_000 / UNITS;
             for (double left = up ? perStep : 0; left > 0; left--) {
                 if (random.nextDouble() < left && quota.tryTake(UNITS, 0, 1, nowMs)) {
-                    taken.add(new Taken(nowMs, UNITS));
+                    admitted.add(new Admission(nowMs, UNITS));
                 }
             }
         }
-        assertThat(most(taken), lessThanOrEqualTo((long) (LIMIT * TOLERANCE)));
+        assertThat(maxInWindow(admitted), lessThanOrEqualTo((long) (LIMIT * TOLERANCE)));
     }
 
     @Test
-    void aRecordThatSeemsToBeOfTheFutureIsStillOfUse() {
+    void futureTimestampIsAcceptedWithinMaxClockSkew() {
         assertThat(
                 PastUse.recorded(70, -2_400, 0, WINDOW_MS, 5),
-                is(new PastUse.Recorded(70, 0, PastUse.MOST_CLOCK_ERROR_MS, 5)));
+                is(new PastUse.Recorded(70, 0, PastUse.MAX_CLOCK_SKEW_MS, 5)));
         assertThat(PastUse.recorded(70, -60_000, 0, WINDOW_MS, 5), is(new PastUse.Unknown()));
         assertThat(PastUse.recorded(70, WINDOW_MS, 0, WINDOW_MS, 5), is(new PastUse.Unknown()));
     }
 
-    /** Routers that are stopped and started in turn, at a workspace's usual rate: nothing of it is refused. */
+    /** A rolling restart of all routers under a workspace's typical load refuses nothing. */
     @Property(tries = 20, seed = "413")
-    void restartsInTurnRefuseNothingOfTheUsual(@ForAll @IntRange(min = 2, max = 6) int routers, @ForAll long seed) {
+    void rollingRestartRefusesNoTypicalLoad(@ForAll @IntRange(min = 2, max = 6) int routers, @ForAll long seed) {
         Random random = new Random(seed);
         List<Router> all = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
@@ -332,7 +336,7 @@
             for (int i = 0; i < routers; i++) {
                 Router r = all.get(i);
                 if (nowMs == 10_000 + i * 1_300L) {
-                    r.life++;
+                    r.incarnation++;
                     r.inbox.clear();
                     r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.Unknown(), nowMs);
                 }
@@ -342,7 +346,7 @@
                     refused += r.quota.tryTake(UNITS, 0, 1, nowMs) ? 0 : 1;
                 }
                 if (nowMs % 60 == 0) {
-                    tellOthers(all, i, nowMs, false);
+                    sendToPeers(all, i, nowMs, false);
                 }
             }
         }
@@ -354,38 +358,38 @@
             long[] m = r.inbox.poll();
             OptionalLong window = m[2] < 0 ? OptionalLong.empty() : OptionalLong.of(m[2]);
             r.quota.heard("r" + m[0], m[4], m[1], window, nowMs);
-            r.heardFrom.add(m[0]);
+            r.knownPeers.add(m[0]);
         }
     }
 
-    private static void tellOthers(List<Router> all, int from, long nowMs, boolean cut) {
+    private static void sendToPeers(List<Router> all, int from, long nowMs, boolean partitionActive) {
         for (int to = 0; to < all.size(); to++) {
-            if (to != from && !(cut && (to == 0 || from == 0))) {
+            if (to != from && !(partitionActive && (to == 0 || from == 0))) {
                 SharedQuota q = all.get(from).quota;
                 all.get(to).inbox.add(new long[] {
-                    from, q.ownTotal(), q.knownWindow(nowMs).orElse(-1), nowMs, all.get(from).life
+                    from, q.ownTotal(), q.knownWindow(nowMs).orElse(-1), nowMs, all.get(from).incarnation
                 });
             }
         }
     }
 
-    /** The most units in any window. */
-    private static long most(List<Taken> taken) {
-        long most = 0;
+    /** The maximum number of units admitted in any window. */
+    private static long maxInWindow(List<Admission> admitted) {
+        long max = 0;
         long sum = 0;
         int first = 0;
-        for (Taken t : taken) {
-            sum += t.units();
-            while (taken.get(first).atMs() <= t.atMs() - WINDOW_MS) {
-                sum -= taken.get(first++).units();
+        for (Admission a : admitted) {
+            sum += a.units();
+            while (admitted.get(first).atMs() <= a.atMs() - WINDOW_MS) {
+                sum -= admitted.get(first++).units();
             }
-            most = Math.max(most, sum);
+            max = Math.max(max, sum);
         }
-        return most;
+        return max;
     }
 
     @Test
-    void aRestartedRouterBelievesAPeerThatKnowsTheWindow() {
+    void restartedRouterAdoptsUsageFromAPeerThatKnowsTheWindow() {
         SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.Unknown(), 0);
         q.heard("peer", 1, 1_000_000, OptionalLong.of(LIMIT * 3 / 4), 0);
         long left = 0;
@@ -396,28 +400,30 @@
         assertThat(left, greaterThan(LIMIT / 5));
     }
 
-    /** After a restart of all, a burst of callers who come back meets routers that do not hear each other yet. */
+    /**
+     * After a restart of all routers, a burst of reconnecting callers reaches routers that do not hear each other yet.
+     */
     @Test
-    void aRestartedRouterThatHearsNobodyYetServesItsPartOfWhatIsLeft() {
+    void restartedRouterWithoutPeersServesItsShareOfTheRemainder() {
         int routers = 6;
         SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.Unknown(), 0);
-        long taken = 0;
+        long admitted = 0;
         for (long nowMs = 10; nowMs < 500; nowMs += 10) {
-            taken += q.tryTake(UNITS, 0, 1.0 / routers, nowMs) ? UNITS : 0;
+            admitted += q.tryTake(UNITS, 0, 1.0 / routers, nowMs) ? UNITS : 0;
         }
-        assertThat(taken, greaterThan(UNITS));
-        assertThat(taken, lessThanOrEqualTo(LIMIT / 5 / routers));
+        assertThat(admitted, greaterThan(UNITS));
+        assertThat(admitted, lessThanOrEqualTo(LIMIT / 5 / routers));
     }
 
     @Test
-    void afterARestartTheLessUrgentAreServedAsWell() {
+    void lowerRanksAreServedAfterARestart() {
         SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.Unknown(), 0);
         assertThat(q.tryTake(UNITS, 2, 0.25, 10), is(true));
     }
 
-    /** A workspace whose limit was lowered below what its most urgent kind alone asks for. */
+    /** The limit of a workspace was lowered below the demand of its most urgent rank alone. */
     @Test
-    void noKindIsShutOutOfAWorkspaceAtItsLimit() {
+    void noRankIsStarvedInAWorkspaceAtItsLimit() {
         SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
         long first = 0;
         long last = 0;
@@ -431,19 +437,19 @@
     }
 
     @Test
-    void nearTheLimitTheLessUrgentLeaveRoom() {
+    void lowerRanksLeaveAReserveNearTheLimit() {
         SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
         int refused = 0;
         for (long nowMs = 10; nowMs < WINDOW_MS; nowMs += 10) {
             boolean lower = q.tryTake(500, 2, 1, nowMs);
-            // Once the lower rank has to leave room, the first goes on.
+            // Once the lower rank has to leave a reserve, the first rank is still admitted.
             refused += !lower && q.tryTake(500, 0, 1, nowMs) ? 1 : 0;
         }
         assertThat(refused, is(greaterThan(3)));
     }
 
     @Test
-    void aLowerLimitBindsAtOnceAndWhatNeverRanIsGivenBack() {
+    void loweredLimitAppliesAtOnceAndCallsThatNeverRanAreRefunded() {
         SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
         long bucket = (long) (2 * BURST);
         assertThat(q.tryTake(bucket, 0, 1, 10), is(true));
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/limit/TokenBucketTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/limit/TokenBucketTest.java
@@ -8,7 +8,7 @@
 class TokenBucketTest {
 
     @Test
-    void itBeginsEmptyAndFillsAtItsRateUpToItsCapacity() {
+    void startsEmptyAndRefillsUpToItsCapacity() {
         TokenBucket bucket = TokenBucket.filling(2, 3, 1_000);
         assertThat(bucket.tokens(1_000), is(0));
         assertThat(bucket.tokens(1_499), is(0));
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void whatIsTakenBeforeItIsThereIsOwed() {
+    void deficitIsRefilledFirst() {
         TokenBucket bucket = TokenBucket.filling(2, 1, 0);
         bucket.take(0);
         assertThat(bucket.tokens(500), is(0));
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/quarantine/FleetQuarantineTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/quarantine/FleetQuarantineTest.java
@@ -17,31 +17,31 @@
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
 /**
- * Routers before engines that crash, in virtual time: under one request that crashes each engine that runs it, and for
- * causes of their own, while many ask for the same few things.
+ * A fleet of routers and crashing engines in virtual time: engines crash because of one request that crashes every
+ * engine that runs it, or for other reasons, under load with popular requests.
  */
 class FleetQuarantineTest {
 
     private static final int SLOTS = 11;
     private static final long RUN_MS = 60_000;
     private static final long CALL_MS = 1_000;
-    /** From a crash to the first message of it at another router. */
-    private static final long TOLD_AFTER_MS = 5;
+    /** Minimum delay from a crash until another router learns of it. */
+    private static final long PEER_DELAY_MS = 5;
 
     private static final long DOWN_MS = 4_000;
     private static final RequestFingerprint CRASHING = new RequestFingerprint(0, 0);
 
-    /** One run of a fleet. */
+    /** One simulated fleet. */
     private static final class Fleet {
 
         private final Random random;
         private final List<Quarantine> routers = new ArrayList<>();
         private final List<Engine> engines = new ArrayList<>();
-        private final TreeMap<Long, List<Runnable>> agenda = new TreeMap<>();
+        private final TreeMap<Long, List<Runnable>> events = new TreeMap<>();
         private final Set<RequestFingerprint> quarantined = new HashSet<>();
         private int crashesByRequest;
         private int refused;
-        private int asked;
+        private int submitted;
         private long nowMs;
 
         Fleet(int size, long seed) {
@@ -57,7 +57,7 @@
         private static final class Engine {
             private final int number;
             private final Map<Object, RequestFingerprint> running = new HashMap<>();
-            private int life;
+            private int restarts;
             private boolean down;
 
             Engine(int number) {
@@ -65,26 +65,26 @@
             }
 
             String incarnation() {
-                return number + "@" + life;
+                return number + "@" + restarts;
             }
         }
 
-        void at(long ms, Runnable event) {
-            agenda.computeIfAbsent(ms, t -> new ArrayList<>()).add(event);
+        void scheduleAt(long ms, Runnable event) {
+            events.computeIfAbsent(ms, t -> new ArrayList<>()).add(event);
         }
 
         void run() {
-            while (!agenda.isEmpty() && agenda.firstKey() <= RUN_MS) {
-                nowMs = agenda.firstKey();
-                agenda.pollFirstEntry().getValue().forEach(Runnable::run);
+            while (!events.isEmpty() && events.firstKey() <= RUN_MS) {
+                nowMs = events.firstKey();
+                events.pollFirstEntry().getValue().forEach(Runnable::run);
             }
         }
 
-        /** A caller asks at some router, and leaves if it is refused. */
-        void ask(RequestFingerprint request) {
+        /** A caller sends a request to a random router and does not retry when it is refused. */
+        void submit(RequestFingerprint request) {
             Quarantine router = routers.get(random.nextInt(routers.size()));
             Engine engine = engines.get(random.nextInt(engines.size()));
-            asked++;
+            submitted++;
             if (router.holds(request, nowMs)) {
                 refused++;
                 return;
@@ -93,26 +93,26 @@
                 return;
             }
             Object call = new Object();
-            int life = engine.life;
+            int restarts = engine.restarts;
             engine.running.put(call, request);
             if (request.equals(CRASHING)) {
-                at(nowMs + 1 + random.nextInt(150), () -> crashBy(engine, life));
+                scheduleAt(nowMs + 1 + random.nextInt(150), () -> crashByRequest(engine, restarts));
             } else {
-                at(nowMs + 1 + random.nextInt((int) CALL_MS), () -> whole(router, engine, call));
+                scheduleAt(nowMs + 1 + random.nextInt((int) CALL_MS), () -> complete(router, engine, call));
             }
         }
 
-        private void crashBy(Engine engine, int life) {
-            if (engine.life == life && !engine.down) {
+        private void crashByRequest(Engine engine, int restarts) {
+            if (engine.restarts == restarts && !engine.down) {
                 crashesByRequest++;
                 crash(engine);
             }
         }
 
-        private void whole(Quarantine router, Engine engine, Object call) {
+        private void complete(Quarantine router, Engine engine, Object call) {
             RequestFingerprint request = engine.running.remove(call);
             if (request != null && router.answered(request, nowMs)) {
-                tellAnswered(request, nowMs);
+                broadcastAnswered(request, nowMs);
             }
         }
 
@@ -122,47 +122,48 @@
                     .toList();
             engine.running.clear();
             engine.down = true;
-            engine.life++;
-            at(nowMs + DOWN_MS, () -> engine.down = false);
-            routers.forEach(r -> at(nowMs + TOLD_AFTER_MS + random.nextInt(50), () -> takeIn(r, crashes)));
+            engine.restarts++;
+            scheduleAt(nowMs + DOWN_MS, () -> engine.down = false);
+            routers.forEach(
+                    r -> scheduleAt(nowMs + PEER_DELAY_MS + random.nextInt(50), () -> applyCrashes(r, crashes)));
         }
 
-        private void takeIn(Quarantine router, List<Crash> crashes) {
+        private void applyCrashes(Quarantine router, List<Crash> crashes) {
             for (Crash c : crashes) {
                 switch (router.crashed(c, nowMs)) {
                     case QUARANTINED -> quarantined.add(c.request());
                     case CLEARED ->
-                        tellAnswered(
+                        broadcastAnswered(
                                 c.request(),
                                 nowMs - router.answeredAgoMs(c.request(), nowMs).orElseThrow());
                     default -> {
-                        // A suspect, or known before.
+                        // The request is only suspected, or the crash was known before.
                     }
                 }
             }
         }
 
-        private void tellAnswered(RequestFingerprint request, long atMs) {
-            routers.forEach(r -> at(nowMs + TOLD_AFTER_MS, () -> r.answered(request, atMs)));
+        private void broadcastAnswered(RequestFingerprint request, long atMs) {
+            routers.forEach(r -> scheduleAt(nowMs + PEER_DELAY_MS, () -> r.answered(request, atMs)));
         }
 
-        void crashPart(int oneIn) {
-            for (int i = 0; i < engines.size(); i += oneIn) {
+        void crashEveryNth(int step) {
+            for (int i = 0; i < engines.size(); i += step) {
                 crash(engines.get(i));
             }
         }
     }
 
-    private static Fleet loaded(int routers, long seed) {
+    private static Fleet fleetUnderLoad(int routers, long seed) {
         Fleet fleet = new Fleet(routers, seed);
         int perSecond = routers * 12;
         for (long ms = 0; ms < RUN_MS; ms += 1_000) {
             for (int i = 0; i < perSecond; i++) {
-                // A fifth of the requests is for one of ten things that many ask for.
+                // One fifth of the load consists of ten popular requests.
                 boolean popular = i % 5 == 0;
                 RequestFingerprint request = new RequestFingerprint(
                         popular ? 1 : 2, popular ? fleet.random.nextInt(10) : fleet.random.nextLong());
-                fleet.at(ms + fleet.random.nextInt(1_000), () -> fleet.ask(request));
+                fleet.scheduleAt(ms + fleet.random.nextInt(1_000), () -> fleet.submit(request));
             }
         }
         return fleet;
@@ -171,20 +172,25 @@
     @Nested
     class OneRequestCrashesEngines {
 
-        /** What is under way when the third engine ends, and until all routers have heard of it, crashes engines too. */
-        private static final int UNDER_WAY = 4;
+        /**
+         * Copies in flight when the third engine ends, and until all routers have learned of it, crash further engines.
+         */
+        private static final int IN_FLIGHT_ALLOWANCE = 4;
 
         @Test
-        void itCrashesFewMoreThanThreeAtAnySize() {
+        void crashesStayNearTheThresholdAtAnyFleetSize() {
             for (int routers : new int[] {5, 33, 99}) {
                 for (long seed = 1; seed <= 5; seed++) {
-                    Fleet fleet = loaded(routers, seed);
+                    Fleet fleet = fleetUnderLoad(routers, seed);
                     for (long ms = 10_000; ms < RUN_MS; ms += 100) {
-                        fleet.at(ms, () -> fleet.ask(CRASHING));
+                        fleet.scheduleAt(ms, () -> fleet.submit(CRASHING));
                     }
                     fleet.run();
                     String run = routers + " routers, seed " + seed;
-                    assertThat(run, fleet.crashesByRequest, lessThanOrEqualTo(Quarantine.CRASHES + UNDER_WAY));
+                    assertThat(
+                            run,
+                            fleet.crashesByRequest,
+                            lessThanOrEqualTo(Quarantine.CRASH_THRESHOLD + IN_FLIGHT_ALLOWANCE));
                     assertThat(run, fleet.quarantined, is(Set.of(CRASHING)));
                 }
             }
@@ -192,16 +198,16 @@
     }
 
     @Nested
-    class EnginesCrashByThemselves {
+    class EnginesCrashForOtherReasons {
 
-        /** Guards against turning proper requests away when a sixth of the engines ends at once, again and again. */
+        /** Guards against refusing legitimate requests when a sixth of the engines ends at once, repeatedly. */
         @Test
         void noRequestIsQuarantined() {
             for (int routers : new int[] {5, 33, 99}) {
                 for (long seed = 1; seed <= 5; seed++) {
-                    Fleet fleet = loaded(routers, seed);
+                    Fleet fleet = fleetUnderLoad(routers, seed);
                     for (long ms = 5_000; ms < RUN_MS; ms += 5_000) {
-                        fleet.at(ms, () -> fleet.crashPart(6));
+                        fleet.scheduleAt(ms, () -> fleet.crashEveryNth(6));
                     }
                     fleet.run();
                     assertThat(routers + " routers, seed " + seed, fleet.quarantined, is(Set.of()));
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/quarantine/QuarantineTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/quarantine/QuarantineTest.java
@@ -17,8 +17,8 @@
 
 class QuarantineTest {
 
-    private static final RequestFingerprint BAD = new RequestFingerprint(1, 2);
-    private static final RequestFingerprint BESIDE = new RequestFingerprint(3, 4);
+    private static final RequestFingerprint CRASHING = new RequestFingerprint(1, 2);
+    private static final RequestFingerprint CONCURRENT = new RequestFingerprint(3, 4);
 
     private final Quarantine quarantine = Quarantine.create();
 
@@ -36,31 +36,31 @@
     class Crashes {
 
         @Test
-        void theThirdTargetThatEndsUnderARequestQuarantinesIt() {
-            assertThat(crash(BAD, "a", 0), is(Quarantine.Effect.SUSPECTED));
-            assertThat(quarantine.mayBeRepeated(BAD, 0), is(true));
-            assertThat(crash(BAD, "b", 1), is(Quarantine.Effect.SUSPECTED));
-            assertThat(quarantine.mayBeRepeated(BAD, 1), is(false));
-            assertThat(quarantine.holds(BAD, 1), is(false));
-            assertThat(crash(BAD, "c", 2), is(Quarantine.Effect.QUARANTINED));
-            assertThat(quarantine.holds(BAD, 2), is(true));
-            assertThat(crash(BAD, "d", 3), is(Quarantine.Effect.SUSPECTED));
+        void thirdTargetCrashQuarantinesTheRequest() {
+            assertThat(crash(CRASHING, "a", 0), is(Quarantine.Effect.SUSPECTED));
+            assertThat(quarantine.mayBeRepeated(CRASHING, 0), is(true));
+            assertThat(crash(CRASHING, "b", 1), is(Quarantine.Effect.SUSPECTED));
+            assertThat(quarantine.mayBeRepeated(CRASHING, 1), is(false));
+            assertThat(quarantine.holds(CRASHING, 1), is(false));
+            assertThat(crash(CRASHING, "c", 2), is(Quarantine.Effect.QUARANTINED));
+            assertThat(quarantine.holds(CRASHING, 2), is(true));
+            assertThat(crash(CRASHING, "d", 3), is(Quarantine.Effect.SUSPECTED));
         }
 
         @Test
-        void oneTargetCountsOnceHoweverManyCopiesItRan() {
+        void oneTargetCountsOnceForAnyNumberOfCopies() {
             for (int i = 0; i < 5; i++) {
-                crash(BAD, "a", i);
+                crash(CRASHING, "a", i);
             }
-            assertThat(quarantine.crashesOf(BAD, 5), is(1));
+            assertThat(quarantine.crashesOf(CRASHING, 5), is(1));
         }
 
         @Test
-        void requestsThatRanBesideItOnceOrTwiceGoOn() {
-            crashThree(BAD, 0);
-            crash(BESIDE, "a", 0);
-            crash(BESIDE, "b", 1);
-            assertThat(quarantine.holds(BESIDE, 2), is(false));
+        void requestsInFewerCrashesAreNotQuarantined() {
+            crashThree(CRASHING, 0);
+            crash(CONCURRENT, "a", 0);
+            crash(CONCURRENT, "b", 1);
+            assertThat(quarantine.holds(CONCURRENT, 2), is(false));
             assertThat(
                     quarantine.crashesOfQuarantined(2).stream()
                             .map(Crash::incarnation)
@@ -70,56 +70,56 @@
     }
 
     @Nested
-    class WholeAnswers {
+    class CompleteAnswers {
 
-        /** Guards against turning away a request that many ask for because targets end under it for another cause. */
+        /** Guards against quarantining a popular request because the targets that run it end for another reason. */
         @Test
-        void aRequestThatWasLatelyAnsweredIsNotBlamed() {
-            quarantine.answered(BAD, 0);
-            long atMs = Quarantine.CLEARED_BEFORE_MS;
-            assertThat(crash(BAD, "a", atMs), is(Quarantine.Effect.CLEARED));
-            crashThree(BAD, atMs - 2);
-            assertThat(quarantine.holds(BAD, atMs), is(false));
-            assertThat(crash(BAD, "a", atMs + 1), is(Quarantine.Effect.SUSPECTED));
+        void recentlyAnsweredRequestIsNotBlamed() {
+            quarantine.answered(CRASHING, 0);
+            long atMs = Quarantine.SUCCESS_GRACE_MS;
+            assertThat(crash(CRASHING, "a", atMs), is(Quarantine.Effect.CLEARED));
+            crashThree(CRASHING, atMs - 2);
+            assertThat(quarantine.holds(CRASHING, atMs), is(false));
+            assertThat(crash(CRASHING, "a", atMs + 1), is(Quarantine.Effect.SUSPECTED));
         }
 
         @Test
-        void anAnswerThatIsHeardOfLateClearsIt() {
-            crashThree(BAD, 1_000);
-            assertThat(quarantine.answered(BAD, 500), is(true));
-            assertThat(quarantine.holds(BAD, 1_010), is(false));
-            assertThat(quarantine.answered(BAD, 500), is(false));
+        void lateReportOfAnAnswerClearsTheRequest() {
+            crashThree(CRASHING, 1_000);
+            assertThat(quarantine.answered(CRASHING, 500), is(true));
+            assertThat(quarantine.holds(CRASHING, 1_010), is(false));
+            assertThat(quarantine.answered(CRASHING, 500), is(false));
         }
 
         @Test
-        void anAnswerOfLongBeforeClearsNothing() {
-            long atMs = 2 * Quarantine.CLEARED_BEFORE_MS;
-            crashThree(BAD, atMs);
-            assertThat(quarantine.answered(BAD, 0), is(false));
-            assertThat(quarantine.holds(BAD, atMs + 2), is(true));
+        void oldAnswerClearsNothing() {
+            long atMs = 2 * Quarantine.SUCCESS_GRACE_MS;
+            crashThree(CRASHING, atMs);
+            assertThat(quarantine.answered(CRASHING, 0), is(false));
+            assertThat(quarantine.holds(CRASHING, atMs + 2), is(true));
         }
     }
 
     @Nested
-    class Lapse {
+    class Expiry {
 
-        /** Guards against a verdict that outlasts its ground: the targets may have been cured. */
+        /** Guards against a quarantine that outlasts its cause: the targets may have been fixed. */
         @Test
-        void itMayRunAgainOnceTheFirstCrashIsForgottenAndIsHeldAgainWhenItCrashesAnother() {
-            crashThree(BAD, 0);
-            long lapsedAtMs = Quarantine.REMEMBERED_MS;
-            assertThat(quarantine.endsInMs(BAD, 2), is(lapsedAtMs - 2));
-            assertThat(quarantine.holds(BAD, lapsedAtMs - 1), is(true));
-            assertThat(quarantine.holds(BAD, lapsedAtMs), is(false));
-            assertThat(quarantine.endsInMs(BAD, lapsedAtMs), is(0L));
-            assertThat(crash(BAD, "d", lapsedAtMs), is(Quarantine.Effect.QUARANTINED));
+        void quarantineEndsWhenTheFirstCrashExpiresAndIsRenewedByAnotherCrash() {
+            crashThree(CRASHING, 0);
+            long expiresAtMs = Quarantine.CRASH_RETENTION_MS;
+            assertThat(quarantine.endsInMs(CRASHING, 2), is(expiresAtMs - 2));
+            assertThat(quarantine.holds(CRASHING, expiresAtMs - 1), is(true));
+            assertThat(quarantine.holds(CRASHING, expiresAtMs), is(false));
+            assertThat(quarantine.endsInMs(CRASHING, expiresAtMs), is(0L));
+            assertThat(crash(CRASHING, "d", expiresAtMs), is(Quarantine.Effect.QUARANTINED));
         }
 
         @Test
-        void liftingForgetsEverything() {
-            crashThree(BAD, 0);
+        void liftDiscardsAllCrashes() {
+            crashThree(CRASHING, 0);
             quarantine.lift();
-            assertThat(quarantine.holds(BAD, 3), is(false));
+            assertThat(quarantine.holds(CRASHING, 3), is(false));
             assertThat(quarantine.crashes(3).isEmpty(), is(true));
         }
 
@@ -132,63 +132,67 @@
         }
     }
 
-    /** Routers hear of the same crashes and answers in different orders, some of them twice, and hold the same. */
+    /**
+     * Routers that learn of the same crashes and answers in different orders, some of them twice, reach the same state.
+     */
     @Property(tries = 300, seed = "41")
-    void whatIsHeldDoesNotDependOnTheOrderOfTheNews(@ForAll long seed) {
+    void quarantineDoesNotDependOnTheOrderOfReports(@ForAll long seed) {
         Random random = new Random(seed);
-        List<Runnable> news = new ArrayList<>();
-        Quarantine[] on = new Quarantine[1];
+        List<Runnable> reports = new ArrayList<>();
+        Quarantine[] current = new Quarantine[1];
         for (int i = 0; i < 12; i++) {
-            Crash crash =
-                    new Crash(random.nextInt(3) == 0 ? BESIDE : BAD, "t" + random.nextInt(6), random.nextInt(9_000));
-            news.add(() -> on[0].crashed(crash, 10_000));
+            Crash crash = new Crash(
+                    random.nextInt(3) == 0 ? CONCURRENT : CRASHING, "t" + random.nextInt(6), random.nextInt(9_000));
+            reports.add(() -> current[0].crashed(crash, 10_000));
         }
         if (random.nextBoolean()) {
             long answeredAtMs = random.nextInt(9_000);
-            news.add(() -> on[0].answered(BESIDE, answeredAtMs));
+            reports.add(() -> current[0].answered(CONCURRENT, answeredAtMs));
         }
         Quarantine first = Quarantine.create();
         Quarantine second = Quarantine.create();
-        on[0] = first;
-        news.forEach(Runnable::run);
-        news.addAll(news.subList(0, 5));
-        Collections.shuffle(news, random);
-        on[0] = second;
-        news.forEach(Runnable::run);
-        for (RequestFingerprint request : List.of(BAD, BESIDE)) {
+        current[0] = first;
+        reports.forEach(Runnable::run);
+        reports.addAll(reports.subList(0, 5));
+        Collections.shuffle(reports, random);
+        current[0] = second;
+        reports.forEach(Runnable::run);
+        for (RequestFingerprint request : List.of(CRASHING, CONCURRENT)) {
             assertThat(second.holds(request, 10_000), is(first.holds(request, 10_000)));
             assertThat(second.crashesOf(request, 10_000), is(first.crashesOf(request, 10_000)));
         }
     }
 
     @Nested
-    class Broken {
+    class BrokenConnections {
 
         private final BrokenCalls calls = BrokenCalls.create();
 
         @Test
-        void onlyTheEndOfTheTargetSpeaksAgainstTheCallsThatBroke() {
-            assertThat(calls.broke(BAD, "a", 0), is(true));
-            assertThat(calls.broke(BESIDE, "a", 1), is(false));
-            assertThat(calls.broke(BAD, "b", 1), is(true));
-            assertThat(calls.ended("a", 0, 2).stream().map(Crash::request).toList(), containsInAnyOrder(BAD, BESIDE));
+        void brokenCallsAreSuspectOnlyWhenTheTargetEnds() {
+            assertThat(calls.broke(CRASHING, "a", 0), is(true));
+            assertThat(calls.broke(CONCURRENT, "a", 1), is(false));
+            assertThat(calls.broke(CRASHING, "b", 1), is(true));
+            assertThat(
+                    calls.ended("a", 0, 2).stream().map(Crash::request).toList(),
+                    containsInAnyOrder(CRASHING, CONCURRENT));
             assertThat(calls.ended("a", 0, 3).isEmpty(), is(true));
         }
 
-        /** Guards against blaming a call for a target that went on after its connection broke, and ended later. */
+        /** Guards against blaming a call whose connection broke while its target went on and ended only later. */
         @Test
-        void aTargetThatWasStillHeardHadNotEnded() {
-            calls.broke(BAD, "a", 0);
-            calls.broke(BESIDE, "a", 1_000);
+        void callsBeforeTheLastBytesFromTheTargetAreNotSuspect() {
+            calls.broke(CRASHING, "a", 0);
+            calls.broke(CONCURRENT, "a", 1_000);
             assertThat(calls.mayHaveEnded("a", 1_010), is(true));
             assertThat(calls.mayHaveEnded("a", 1_500), is(false));
             assertThat(
-                    calls.ended("a", 1_010, 1_100).stream().map(Crash::request).toList(), is(List.of(BESIDE)));
+                    calls.ended("a", 1_010, 1_100).stream().map(Crash::request).toList(), is(List.of(CONCURRENT)));
         }
 
         @Test
-        void aTargetThatEndsMuchLaterSaysNothingOfThem() {
-            calls.broke(BAD, "a", 0);
+        void callsLongBeforeTheEndOfTheTargetAreNotSuspect() {
+            calls.broke(CRASHING, "a", 0);
             assertThat(calls.ended("a", 0, 10_001).isEmpty(), is(true));
         }
     }
@@ -197,7 +201,7 @@
     class Fingerprints {
 
         @Test
-        void theyTellCallerPathAndBodyApartAndNothingElse() {
+        void fingerprintDependsOnlyOnCallerMethodHostUriAndBody() {
             RequestFingerprint one = RequestFingerprint.of("w", "POST", "h", "/a/1?x", new byte[] {1});
             assertThat(RequestFingerprint.of("w", "POST", "h", "/a/1?x", new byte[] {1}), is(one));
             List<RequestFingerprint> others = List.of(
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/room/RoomProperties.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/room/PreemptionBrokerProperties.java
@@ -32,18 +32,18 @@
 import static org.hamcrest.Matchers.equalTo;
 
 /**
- * Several routers share engines through their agents' brokers: no router refuses a request for
- * capacity while any router still runs a lower tier. Prefill is so fast here that only slots matter.
+ * Several routers share engines through their agents' brokers: no router refuses a request for lack of capacity while
+ * any router still runs a lower tier. The prefill rate is so high that only slots are limiting.
  */
-class RoomProperties {
+class PreemptionBrokerProperties {
 
     private static final Tier[] TIERS = {
         new Tier("gold", 0, 500, 61, 1_000_000),
         new Tier("silver", 1, 500, 200, 1_000_000),
         new Tier("bronze", 2, 500, 1_000, 1_000_000)
     };
-    private static final long TURN_MS = 20;
-    private static final long LAST_TURN_MS = 1_000;
+    private static final long ANSWER_TIMEOUT_MS = 20;
+    private static final long LAST_ANSWER_TIMEOUT_MS = 1_000;
 
     @Property(tries = 150, seed = "11")
     void noTierIsShedWhileAnyRouterRunsALowerOne(
@@ -54,49 +54,55 @@
         for (int step = 0; step < 300; step++) {
             fleet.step();
         }
-        fleet.brokers.values().forEach(b -> assertThat("asks left open", b.open(), equalTo(0)));
+        fleet.brokers.values().forEach(b -> assertThat("unanswered preemption requests", b.open(), equalTo(0)));
     }
 
-    /** A busy machine: a router stops a request, but its answer comes after its turn. */
+    /**
+     * Guards against preempting two requests for one: on a busy machine a router may preempt a request and answer only
+     * after its timeout.
+     */
     @Example
-    void aRouterThatDoesNotAnswerIsPassedOverAndNotAskedAgainForTheSameRequest() {
-        RoomBroker broker = RoomBroker.create(TURN_MS, LAST_TURN_MS);
+    void unresponsiveRouterIsSkippedAndNotAskedAgainForTheSameRequest() {
+        RoomBroker broker = RoomBroker.create(ANSWER_TIMEOUT_MS, LAST_ANSWER_TIMEOUT_MS);
         assertThat(broker.requested("r1", 7, 0, List.of("r1", "r2", "r3"), 100), contains((RoomStep)
                 new RoomStep.AskRouter("r2", 1, 1)));
         assertThat(broker.tick(119), empty());
         assertThat(broker.tick(120), contains((RoomStep) new RoomStep.AskRouter("r3", 2, 1)));
         assertThat("late answer", broker.answered("r2", 1, true, 121), empty());
-        assertThat("not r2", broker.answered("r3", 2, false, 122), contains((RoomStep)
+        assertThat("r2 is not asked again", broker.answered("r3", 2, false, 122), contains((RoomStep)
                 new RoomStep.AskRouter("r3", 3, 0)));
         assertThat(broker.left("r3", 123), contains((RoomStep) new RoomStep.Answer("r1", 7, false)));
         assertThat(broker.open(), equalTo(0));
     }
 
-    /** Guards against refusing a higher tier beside a lower one since the only router to ask was late by some ms. */
+    /**
+     * Guards against refusing a higher tier while a lower one runs, because the only router left to ask answered a few
+     * ms late.
+     */
     @Example
-    void theLastRouterThatCanBeAskedIsNotPassedOverAfterATurn() {
-        RoomBroker broker = RoomBroker.create(TURN_MS, LAST_TURN_MS);
+    void lastRouterIsNotSkippedAfterTheShorterTimeout() {
+        RoomBroker broker = RoomBroker.create(ANSWER_TIMEOUT_MS, LAST_ANSWER_TIMEOUT_MS);
         broker.requested("r1", 7, 0, List.of("r1", "r2", "r3"), 100);
         assertThat(broker.tick(120), contains((RoomStep) new RoomStep.AskRouter("r3", 2, 1)));
-        assertThat(broker.tick(120 + LAST_TURN_MS - 1), empty());
+        assertThat(broker.tick(120 + LAST_ANSWER_TIMEOUT_MS - 1), empty());
         assertThat(broker.answered("r3", 2, true, 400), contains((RoomStep) new RoomStep.Answer("r1", 7, true)));
         broker.requested("r1", 8, 0, List.of("r1", "r2"), 1_000);
-        assertThat("it is away", broker.tick(1_000 + LAST_TURN_MS), contains((RoomStep)
+        assertThat("router did not answer", broker.tick(1_000 + LAST_ANSWER_TIMEOUT_MS), contains((RoomStep)
                 new RoomStep.Answer("r1", 8, false)));
         assertThat(broker.open(), equalTo(0));
     }
 
-    /** Routers and brokers with messages delivered in order and at once. */
+    /** Routers and brokers with immediate, ordered message delivery. */
     private static final class Fleet {
         private final Random random;
         private final Map<String, Scheduler> routers = new TreeMap<>();
         private final Map<String, EngineInfo> engines = new TreeMap<>();
         private final Map<String, RoomBroker> brokers = new TreeMap<>();
         private final Map<String, Map<String, RequestSpec>> running = new TreeMap<>();
-        private final Map<String, String> engineOf = new HashMap<>();
-        private final Map<Long, String> requestOfAsk = new HashMap<>();
+        private final Map<String, String> engineByRequest = new HashMap<>();
+        private final Map<Long, String> requestByAskId = new HashMap<>();
         private long nowMs = 1_000;
-        private long nextAsk = 1;
+        private long nextAskId = 1;
         private int submitted;
 
         private Fleet(long seed, int routerCount, int engineCount) {
@@ -106,7 +112,7 @@
             for (int i = 0; i < engineCount; i++) {
                 String id = "e" + i;
                 engines.put(id, new EngineInfo(id, "p", "h", i, 1 + random.nextInt(3), 1_000_000_000, 1_000, false));
-                brokers.put(id, RoomBroker.create(TURN_MS, LAST_TURN_MS));
+                brokers.put(id, RoomBroker.create(ANSWER_TIMEOUT_MS, LAST_ANSWER_TIMEOUT_MS));
             }
             for (int i = 0; i < routerCount; i++) {
                 Scheduler s = Scheduler.create(settings);
@@ -134,12 +140,12 @@
             }
         }
 
-        /** Every engine tells every router what runs on it, from all routers. */
+        /** Every engine reports its load from all routers to every router. */
         private void report() {
             for (String engineId : engines.keySet()) {
                 int total = (int) running.values().stream()
                         .flatMap(m -> m.keySet().stream())
-                        .filter(id -> engineOf.get(id).equals(engineId))
+                        .filter(id -> engineByRequest.get(id).equals(engineId))
                         .count();
                 LoadReport load = new LoadReport(engineId, total, 0, List.of(), false);
                 routers.forEach((r, s) -> carryOut(r, s.engineReported(load, nowMs)));
@@ -151,7 +157,7 @@
                 switch (a) {
                     case Action.Dispatch d -> {
                         running.get(router).put(d.requestId(), d.spec());
-                        engineOf.put(d.requestId(), d.engine().engineId());
+                        engineByRequest.put(d.requestId(), d.engine().engineId());
                     }
                     case Action.Refuse r -> assertNothingLowerRuns(r);
                     case Action.Cancel c -> running.get(router).remove(c.requestId());
@@ -161,20 +167,20 @@
         }
 
         private void ask(String router, Action.AskRoom ask) {
-            long askId = nextAsk++;
-            requestOfAsk.put(askId, ask.requestId());
+            long askId = nextAskId++;
+            requestByAskId.put(askId, ask.requestId());
             RoomBroker broker = brokers.get(ask.engineId());
             Deque<RoomStep> steps = new ArrayDeque<>(
                     broker.requested(router, askId, ask.spec().tier().rank(), routers.keySet(), nowMs));
             while (!steps.isEmpty()) {
                 switch (steps.pollFirst()) {
-                    case RoomStep.AskRouter turn -> {
-                        Optional<Action> stopped = routers.get(turn.routerId()).makeRoom(ask.engineId(), turn.rank());
-                        stopped.ifPresent(s -> carryOut(turn.routerId(), List.of(s)));
-                        steps.addAll(broker.answered(turn.routerId(), turn.turnId(), stopped.isPresent(), nowMs));
+                    case RoomStep.AskRouter query -> {
+                        Optional<Action> stopped = routers.get(query.routerId()).makeRoom(ask.engineId(), query.rank());
+                        stopped.ifPresent(s -> carryOut(query.routerId(), List.of(s)));
+                        steps.addAll(broker.answered(query.routerId(), query.turnId(), stopped.isPresent(), nowMs));
                     }
                     case RoomStep.Answer answer -> {
-                        String requestId = requestOfAsk.remove(answer.askId());
+                        String requestId = requestByAskId.remove(answer.askId());
                         carryOut(router, routers.get(router).roomAnswered(requestId, answer.made(), nowMs));
                     }
                 }
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/route/ForwardingConfigTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/route/ForwardingConfigTest.java
@@ -45,7 +45,7 @@
         }
 
         @Test
-        void theLongestPrefixOfTheHostWins() {
+        void longestPrefixOfTheHostMatches() {
             assertThat(match("a.example", "/x/y/z"), is("long"));
             assertThat(match("a.example", "/x/yz"), is("short"));
             assertThat(match("a.example", "/x"), is("none"));
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void callsWithoutTokensCountThePlainUnits() {
+    void callsWithoutTokenCountsAreChargedThePlainUnits() {
         WorkspaceAccess w = config().workspaceOfKey("k2").orElseThrow();
         assertThat(w.units(-1), is(5L));
         assertThat(w.units(700), is(700L));
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/schedule/SchedulerProperties.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/schedule/SchedulerProperties.java
@@ -22,11 +22,10 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * Long randomised runs of the scheduler with the brief's promises checked inside it ({@link
- * Invariants}) and over its actions here: every request gets exactly one final answer, none is
- * dispatched twice, and a refused request was never dispatched and is told so. The shedding rule (no
- * higher tier refused while stopping lower-tier work would let it start) is asserted inside the
- * scheduler, which these runs enable.
+ * Long randomised runs with the scheduler's internal {@link Invariants} enabled. On the returned actions they check
+ * that every request gets exactly one final answer, that none is dispatched twice, and that a refused request was never
+ * dispatched and is reported as not run. The shedding rule (no higher tier is refused while stopping lower-tier work
+ * would let it start) is asserted inside the scheduler.
  */
 class SchedulerProperties {
 
@@ -43,7 +42,7 @@
             @ForAll @LongRange(min = 1, max = Long.MAX_VALUE) long seed,
             @ForAll @IntRange(min = 1, max = 6) int engines) {
         Run run = new Run(seed, engines, new RoutingPolicy.EarliestFirstToken());
-        run.play(600);
+        run.runSteps(600);
         run.finishEverything();
         assertThat(run.open(), is(empty()));
         assertThat(run.ended.size(), equalTo(run.submitted));
@@ -55,10 +54,10 @@
     }
 
     @Property(tries = 60, seed = "43")
-    void aBaselineNeitherQueuesNorStopsLowerTiers(
+    void baselinePoliciesNeitherQueueNorPreempt(
             @ForAll @LongRange(min = 1, max = Long.MAX_VALUE) long seed, @ForAll boolean roundRobin) {
         Run run = new Run(seed, 3, roundRobin ? new RoutingPolicy.RoundRobin() : new RoutingPolicy.LeastOutstanding());
-        run.play(300);
+        run.runSteps(300);
         assertThat(
                 run.scheduler.snapshot().queuedByPool().values().stream()
                         .mapToInt(Integer::intValue)
@@ -68,7 +67,7 @@
         assertThat(run.open(), is(empty()));
     }
 
-    /** One randomised session against a scheduler, checking each action as it comes. */
+    /** One randomised run against a scheduler that checks every action. */
     private static final class Run {
         private final Random random;
         private final RoutingPolicy policy;
@@ -100,15 +99,15 @@
             }
         }
 
-        private void play(int steps) {
+        private void runSteps(int steps) {
             for (int i = 0; i < steps; i++) {
                 nowMs += random.nextInt(40);
-                int pick = random.nextInt(10);
-                if (pick < 5) {
+                int choice = random.nextInt(10);
+                if (choice < 5) {
                     submit();
-                } else if (pick < 8 && !running.isEmpty()) {
+                } else if (choice < 8 && !running.isEmpty()) {
                     progressOne();
-                } else if (pick == 8 && !open().isEmpty()) {
+                } else if (choice == 8 && !open().isEmpty()) {
                     abandonOne();
                 } else {
                     apply(scheduler.tick(nowMs));
@@ -137,7 +136,7 @@
         }
 
         private void progressOne() {
-            String id = pick(running.keySet());
+            String id = randomElement(running.keySet());
             switch (random.nextInt(4)) {
                 case 0 -> scheduler.firstToken(id, nowMs);
                 case 1 -> unsent(id);
@@ -145,7 +144,7 @@
             }
         }
 
-        /** The target could not be reached: the request may be dispatched once more. */
+        /** Simulates an unreachable target: the request may be dispatched once more. */
         private void unsent(String id) {
             running.remove(id);
             dispatched.remove(id);
@@ -156,20 +155,20 @@
         }
 
         private void abandonOne() {
-            String id = pick(open());
+            String id = randomElement(open());
             running.remove(id);
             end(id, "abandoned");
             apply(scheduler.ended(id, nowMs));
         }
 
-        private String pick(Set<String> ids) {
+        private String randomElement(Set<String> ids) {
             List<String> sorted = new ArrayList<>(ids);
             sorted.sort(null);
             return sorted.get(random.nextInt(sorted.size()));
         }
 
         private void finishOne() {
-            String id = pick(running.keySet());
+            String id = randomElement(running.keySet());
             running.remove(id);
             end(id, "completed");
             apply(scheduler.ended(id, nowMs));
@@ -205,14 +204,14 @@
                                 dispatched.contains(r.requestId()),
                                 is(false));
                         assertThat(r.refusal().reason().notRun(), is(true));
-                        if (knowsTiers() && r.refusal().reason() == RefusalReason.WORKSPACE_LIMIT) {
+                        if (policyUsesTiers() && r.refusal().reason() == RefusalReason.WORKSPACE_LIMIT) {
                             assertThat(lowerTierOpen(r.spec()), is(empty()));
                         }
                         end(r.requestId(), "refused");
                     }
                     case Action.AskRoom r -> apply(scheduler.roomAnswered(r.requestId(), false, nowMs));
                     case Action.Cancel c -> {
-                        assertThat(knowsTiers() || c.refusal().reason() != RefusalReason.PREEMPTED, is(true));
+                        assertThat(policyUsesTiers() || c.refusal().reason() != RefusalReason.PREEMPTED, is(true));
                         running.remove(c.requestId());
                         end(c.requestId(), "cancelled");
                     }
@@ -220,7 +219,7 @@
             }
         }
 
-        private boolean knowsTiers() {
+        private boolean policyUsesTiers() {
             return policy instanceof RoutingPolicy.EarliestFirstToken;
         }
 
@@ -232,8 +231,8 @@
             return lower;
         }
 
-        private void end(String id, String how) {
-            assertThat("ended twice: " + id, ended.put(id, how) == null, is(true));
+        private void end(String id, String outcome) {
+            assertThat("ended twice: " + id, ended.put(id, outcome) == null, is(true));
         }
     }
 }
