--- a/onyxhinge-agent/src/main/java/org/onyxhinge/agent/AgentOrders.java
+++ b/onyxhinge-agent/src/main/java/org/onyxhinge/agent/AgentOrders.java
@@ -64,7 +64,7 @@
                             long holder = reply.entries().isEmpty()
                                     ? 0
                                     : reply.entries().get(0).modRevision();
-                            gate.learn(holder);
+                            gate.observe(holder);
                             return holder == order.fencingToken() && gate.admit(order.fencingToken())
                                     ? send(order)
                                     : fenced(order, holder);
--- a/onyxhinge-agent/src/main/java/org/onyxhinge/agent/RouterHub.java
+++ b/onyxhinge-agent/src/main/java/org/onyxhinge/agent/RouterHub.java
@@ -11,8 +11,8 @@
 import io.vertx.core.net.NetServer;
 import io.vertx.core.net.NetSocket;
 import org.jboss.logging.Logger;
-import org.onyxhinge.core.room.RoomBroker;
-import org.onyxhinge.core.room.RoomStep;
+import org.onyxhinge.core.room.PreemptionBroker;
+import org.onyxhinge.core.room.PreemptionStep;
 import org.onyxhinge.wire.MonotonicClock;
 import org.onyxhinge.wire.peer.PeerConnection;
 import org.onyxhinge.wire.peer.PeerMessage;
@@ -36,7 +36,7 @@
     private final AgentOrders orders;
     private final PeerTraffic traffic = new PeerTraffic();
     private final Map<String, PeerConnection> byRouter = new TreeMap<>();
-    private final RoomBroker rooms = RoomBroker.create(ROOM_TURN_MS, ROOM_LAST_TURN_MS);
+    private final PreemptionBroker rooms = PreemptionBroker.create(ROOM_TURN_MS, ROOM_LAST_TURN_MS);
     private NetServer server;
     private long roomTimer = -1;
 
@@ -113,7 +113,8 @@
             switch (message) {
                 case PeerMessage.Subscribe s -> subscribed(s.routerId());
                 case PeerMessage.RoomRequest r ->
-                    carryOut(rooms.requested(routerId, r.askId(), r.rank(), routerIds(), MonotonicClock.nowMs()));
+                    carryOut(rooms.preemptionRequested(
+                            routerId, r.askId(), r.rank(), routerIds(), MonotonicClock.nowMs()));
                 case PeerMessage.Yielded y ->
                     carryOut(rooms.answered(routerId, y.turnId(), y.made(), MonotonicClock.nowMs()));
                 case PeerMessage.OrderRequest o -> order(o);
@@ -129,23 +130,23 @@
         private void closed() {
             if (routerId != null && byRouter.remove(routerId, connection)) {
                 LOG.infof("router gone router=%s", routerId);
-                carryOut(rooms.left(routerId, MonotonicClock.nowMs()));
+                carryOut(rooms.routerDisconnected(routerId, MonotonicClock.nowMs()));
             }
         }
     }
 
-    private void carryOut(List<RoomStep> steps) {
-        for (RoomStep step : steps) {
+    private void carryOut(List<PreemptionStep> steps) {
+        for (PreemptionStep step : steps) {
             PeerConnection to = byRouter.get(step.routerId());
             if (to != null) {
                 to.send(
                         switch (step) {
-                            case RoomStep.AskRouter a -> new PeerMessage.Yield(a.turnId(), a.rank());
-                            case RoomStep.Answer a -> new PeerMessage.RoomReply(a.askId(), a.made());
+                            case PreemptionStep.AskRouter a -> new PeerMessage.Yield(a.turnId(), a.rank());
+                            case PreemptionStep.Answer a -> new PeerMessage.RoomReply(a.askId(), a.made());
                         });
             }
         }
-        if (rooms.open() > 0 && roomTimer < 0) {
+        if (rooms.pendingCount() > 0 && roomTimer < 0) {
             roomTimer = vertx.setPeriodic(ROOM_TICK_MS, t -> roomTick());
         }
     }
@@ -153,7 +154,7 @@
     /** Runs only while a router waits for room. */
     private void roomTick() {
         carryOut(rooms.tick(MonotonicClock.nowMs()));
-        if (rooms.open() == 0) {
+        if (rooms.pendingCount() == 0) {
             vertx.cancelTimer(roomTimer);
             roomTimer = -1;
         }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/chart/Machine.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/chart/StateMachine.java
@@ -6,21 +6,21 @@
  * One running instance of a {@link StateChart}. Not thread-safe. A transition that the chart does not allow throws
  * {@link IllegalStateException} and leaves the state unchanged.
  */
-public final class Machine {
+public final class StateMachine {
 
     private final StateChart chart;
     private final String subject;
     private String state;
 
-    private Machine(StateChart chart, String subject) {
+    private StateMachine(StateChart chart, String subject) {
         this.chart = chart;
         this.subject = subject;
         this.state = chart.initial();
     }
 
     /** Starts a state machine in the chart's initial state; {@code subject} identifies it in error messages. */
-    public static Machine start(StateChart chart, String subject) {
-        return new Machine(chart, subject);
+    public static StateMachine start(StateChart chart, String subject) {
+        return new StateMachine(chart, subject);
     }
 
     /** The current state. */
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/engine/EngineModel.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/engine/EngineModel.java
@@ -66,9 +66,9 @@
         }
         List<EngineRun> decoding =
                 batch.stream().filter(run -> !run.prefilling()).toList();
-        double tookMs = prefillChunk();
+        double durationMs = prefillChunk();
         if (!decoding.isEmpty()) {
-            tookMs += spec.stepMs() + spec.stepMsPerRun() * (decoding.size() - 1);
+            durationMs += spec.stepMs() + spec.stepMsPerRun() * (decoding.size() - 1);
         }
         List<EngineRun> events = new ArrayList<>();
         List<EngineRun> ended = new ArrayList<>();
@@ -84,7 +84,7 @@
         }
         batch.removeAll(ended);
         freeMemory();
-        return new EngineStep(tookMs, events, ended);
+        return new EngineStep(durationMs, events, ended);
     }
 
     private void admit() {
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/PastUse.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/PriorUsage.java
@@ -1,13 +1,13 @@
 package org.onyxhinge.core.limit;
 
 /** What a router knows, when it starts to count a quota, about usage in the preceding window. */
-public sealed interface PastUse {
+public sealed interface PriorUsage {
 
     /** No usage other than what this router counts itself. */
-    record None() implements PastUse {}
+    record None() implements PriorUsage {}
 
     /** Nothing is known because the router has just started. */
-    record Unknown() implements PastUse {}
+    record Unknown() implements PriorUsage {}
 
     /**
      * All usage up to some time is known from a record that outlives the routers.
@@ -17,7 +17,7 @@
      * @param unobservedMs the part of that time in which other routers may have admitted calls that no one will report
      * @param toleratedUnits units that may go uncounted: a part of the overrun that operators tolerate beyond a limit
      */
-    record Recorded(long units, long elapsedMs, long unobservedMs, long toleratedUnits) implements PastUse {}
+    record Recorded(long units, long elapsedMs, long unobservedMs, long toleratedUnits) implements PriorUsage {}
 
     /** Upper bound on the wall-clock skew between VMs, including a clock step on one of them. */
     long MAX_CLOCK_SKEW_MS = 3_000;
@@ -32,7 +32,7 @@
      *     writer's
      * @param sinceMs time since the record was read
      */
-    static PastUse recorded(long units, long ageMs, long sinceMs, long windowMs, long toleratedUnits) {
+    static PriorUsage recorded(long units, long ageMs, long sinceMs, long windowMs, long toleratedUnits) {
         if (ageMs < -MAX_CLOCK_SKEW_MS || ageMs >= windowMs) {
             return new Unknown();
         }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/RetryBudget.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/RetryBudget.java
@@ -13,8 +13,8 @@
     /** Fraction of the bound that is spent; the rest covers windows that other routers align differently. */
     private static final double SPENDABLE_FRACTION = 0.7;
 
-    private final Map<String, SlidingCount> requests = new HashMap<>();
-    private final Map<String, SlidingCount> retries = new HashMap<>();
+    private final Map<String, SlidingWindowCounter> requests = new HashMap<>();
+    private final Map<String, SlidingWindowCounter> retries = new HashMap<>();
     private final double ratio;
     private final double allowance;
     private final long windowMs;
@@ -37,7 +37,7 @@
     }
 
     /** Counts a caller's request for a service. */
-    public void requested(String service, long nowMs) {
+    public void countRequest(String service, long nowMs) {
         count(requests, service).add(nowMs);
     }
 
@@ -46,10 +46,10 @@
      *
      * @param routers number of routers that share the allowance, including this one
      */
-    public boolean tryRepeat(String service, int routers, long nowMs) {
+    public boolean tryRetry(String service, int routers, long nowMs) {
         double fixed = Math.floor(allowance * SPENDABLE_FRACTION / Math.max(1, routers));
         double bound = ratio * SPENDABLE_FRACTION * count(requests, service).total(nowMs) + fixed;
-        SlidingCount spent = count(retries, service);
+        SlidingWindowCounter spent = count(retries, service);
         if (spent.total(nowMs) + 1 > bound) {
             return false;
         }
@@ -57,7 +57,7 @@
         return true;
     }
 
-    private SlidingCount count(Map<String, SlidingCount> counts, String service) {
-        return counts.computeIfAbsent(service, s -> SlidingCount.over(windowMs));
+    private SlidingWindowCounter count(Map<String, SlidingWindowCounter> counts, String service) {
+        return counts.computeIfAbsent(service, s -> SlidingWindowCounter.over(windowMs));
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/SharedQuota.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/SharedQuota.java
@@ -43,10 +43,10 @@
 
     private final Map<String, PeerTotal> peerTotals = new HashMap<>();
     private final long windowMs;
-    private final SlidingCount used;
-    private final Map<Integer, SlidingCount> ownByRank = new HashMap<>();
+    private final SlidingWindowCounter used;
+    private final Map<Integer, SlidingWindowCounter> ownByRank = new HashMap<>();
     /** Usage by any router that may have occurred before this router started. */
-    private final SlidingCount presumed;
+    private final SlidingWindowCounter presumed;
 
     private double perSecond;
     private double burst;
@@ -62,8 +62,8 @@
         this.perSecond = perSecond;
         this.burst = burst;
         this.windowMs = windowMs;
-        this.used = SlidingCount.over(windowMs);
-        this.presumed = SlidingCount.over(windowMs);
+        this.used = SlidingWindowCounter.over(windowMs);
+        this.presumed = SlidingWindowCounter.over(windowMs);
     }
 
     /**
@@ -73,17 +73,17 @@
      *     a window, faster than a workspace within its limit uses it up, until a router that knows the usage reports
      *     it. Where it is recorded, only what may have been used since the record is presumed in addition
      */
-    public static SharedQuota create(double perSecond, double burst, long windowMs, PastUse past, long nowMs) {
+    public static SharedQuota create(double perSecond, double burst, long windowMs, PriorUsage past, long nowMs) {
         SharedQuota quota = new SharedQuota(perSecond, burst, windowMs);
-        quota.usageKnownFromMs = past instanceof PastUse.None ? nowMs : nowMs + windowMs;
+        quota.usageKnownFromMs = past instanceof PriorUsage.None ? nowMs : nowMs + windowMs;
         quota.refilledAtMs = nowMs;
         switch (past) {
-            case PastUse.None n -> quota.level = quota.capacity();
-            case PastUse.Unknown u -> {
+            case PriorUsage.None n -> quota.level = quota.capacity();
+            case PriorUsage.Unknown u -> {
                 quota.level = quota.capacity() / 2;
                 quota.presumed.spread(nowMs, (long) (quota.windowLimit(1) * PRESUMED_USED_FRACTION));
             }
-            case PastUse.Recorded r -> {
+            case PriorUsage.Recorded r -> {
                 quota.level = quota.capacity() / 2;
                 quota.presumed.spread(nowMs - r.elapsedMs(), r.units());
                 // Usage since the record is at most everything refilled in that time plus a full bucket at its end.
@@ -127,7 +127,9 @@
         }
         level -= units;
         used.add(nowMs, units);
-        ownByRank.computeIfAbsent(rank, r -> SlidingCount.over(windowMs)).add(nowMs, units);
+        ownByRank
+                .computeIfAbsent(rank, r -> SlidingWindowCounter.over(windowMs))
+                .add(nowMs, units);
         ownTotal += units;
         return true;
     }
@@ -147,10 +149,10 @@
 
     private boolean isBelowMinShare(long units, int rank, long nowMs) {
         long allRanks = 0;
-        for (SlidingCount count : ownByRank.values()) {
+        for (SlidingWindowCounter count : ownByRank.values()) {
             allRanks += count.total(nowMs);
         }
-        SlidingCount own = ownByRank.get(rank);
+        SlidingWindowCounter own = ownByRank.get(rank);
         return (own == null ? 0 : own.total(nowMs)) + units <= MIN_RANK_SHARE * (allRanks + units);
     }
 
@@ -158,7 +160,9 @@
     public void giveBack(long units, int rank, long nowMs) {
         level += units;
         used.add(nowMs, -units);
-        ownByRank.computeIfAbsent(rank, r -> SlidingCount.over(windowMs)).add(nowMs, -units);
+        ownByRank
+                .computeIfAbsent(rank, r -> SlidingWindowCounter.over(windowMs))
+                .add(nowMs, -units);
         ownTotal -= units;
     }
 
@@ -193,12 +197,12 @@
     }
 
     /** Units that all routers have admitted in the window, if known here. */
-    public OptionalLong knownWindow(long nowMs) {
+    public OptionalLong knownUsage(long nowMs) {
         return nowMs >= usageKnownFromMs ? OptionalLong.of(used.total(nowMs)) : OptionalLong.empty();
     }
 
     /** Records that a router which has been heard from has not admitted anything yet. */
-    public void unusedBy(String router, long incarnation) {
+    public void addIdlePeer(String router, long incarnation) {
         peerTotals.putIfAbsent(router, new PeerTotal(incarnation, 0));
     }
 
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/SlidingCount.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/SlidingWindowCounter.java
@@ -6,7 +6,7 @@
  * Sliding-window counter over equal slices. A slice expires only once all of it is older than the window, so the count
  * is never below the true one.
  */
-public final class SlidingCount {
+public final class SlidingWindowCounter {
 
     /** Slices per window; the count covers at most one tenth more than the window. */
     private static final int SLICES = 10;
@@ -15,13 +15,13 @@
     private final long[] counts = new long[SLICES + 1];
     private long newestSlice = Long.MIN_VALUE;
 
-    private SlidingCount(long windowMs) {
+    private SlidingWindowCounter(long windowMs) {
         this.sliceMs = Math.max(1, windowMs / SLICES);
     }
 
     /** Creates an empty counter over {@code windowMs}. */
-    public static SlidingCount over(long windowMs) {
-        return new SlidingCount(windowMs);
+    public static SlidingWindowCounter over(long windowMs) {
+        return new SlidingWindowCounter(windowMs);
     }
 
     /** Counts one event. */
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/TokenBucket.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/limit/TokenBucket.java
@@ -21,7 +21,7 @@
     }
 
     /** Creates an empty bucket with a refill rate and a capacity. */
-    public static TokenBucket filling(double perSecond, double capacity, long nowMs) {
+    public static TokenBucket startingEmpty(double perSecond, double capacity, long nowMs) {
         return new TokenBucket(perSecond, capacity, nowMs);
     }
 
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/order/FencingGate.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/order/FencingGate.java
@@ -19,7 +19,7 @@
     }
 
     /** Takes into account a token seen elsewhere, for example in the lease key itself. */
-    public void learn(long token) {
+    public void observe(long token) {
         highestToken = Math.max(highestToken, token);
     }
 
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/RankShares.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/RankShares.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-import org.onyxhinge.core.limit.SlidingCount;
+import org.onyxhinge.core.limit.SlidingWindowCounter;
 
 /**
  * Prevents starvation of a rank within a service. With strict priority a rank gets only what the more urgent ranks
@@ -28,7 +28,7 @@
     private final Map<Integer, Counts> byRank = new TreeMap<>();
 
     /** Requests of one rank that were sent and that were refused, not counting retries. */
-    private record Counts(SlidingCount sent, SlidingCount refused) {
+    private record Counts(SlidingWindowCounter sent, SlidingWindowCounter refused) {
 
         long sentWithinWindow(long nowMs) {
             return sent.total(nowMs);
@@ -74,6 +74,6 @@
 
     private Counts counts(int rank) {
         return byRank.computeIfAbsent(
-                rank, r -> new Counts(SlidingCount.over(WINDOW_MS), SlidingCount.over(WINDOW_MS)));
+                rank, r -> new Counts(SlidingWindowCounter.over(WINDOW_MS), SlidingWindowCounter.over(WINDOW_MS)));
     }
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/place/TargetLimit.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/place/TargetLimit.java
@@ -112,7 +112,7 @@
 
     private TokenBucket bucket(long nowMs) {
         if (bucket == null) {
-            bucket = TokenBucket.filling(Math.max(MIN_PER_SECOND, perSecond), BURST, nowMs);
+            bucket = TokenBucket.startingEmpty(Math.max(MIN_PER_SECOND, perSecond), BURST, nowMs);
         }
         return bucket;
     }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/quarantine/Quarantine.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/quarantine/Quarantine.java
@@ -70,7 +70,7 @@
     }
 
     /** Records a crash, either observed here or reported by a peer. */
-    public Effect crashed(Crash crash, long nowMs) {
+    public Effect recordCrash(Crash crash, long nowMs) {
         if (nowMs - crash.atMs() >= CRASH_RETENTION_MS) {
             return Effect.NONE;
         }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/room/RoomBroker.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/room/PreemptionBroker.java
@@ -17,14 +17,14 @@
  * <p>Messages are sent only when a router asks, so an idle system has no control traffic. Not thread-safe: confined to
  * the agent's control thread. Times are milliseconds of a monotonic clock.
  */
-public final class RoomBroker {
+public final class PreemptionBroker {
 
     private final long answerTimeoutMs;
     private final long lastAnswerTimeoutMs;
     private final Map<Long, PendingRequest> pendingByTurn = new HashMap<>();
     private long nextTurnId = 1;
 
-    private RoomBroker(long answerTimeoutMs, long lastAnswerTimeoutMs) {
+    private PreemptionBroker(long answerTimeoutMs, long lastAnswerTimeoutMs) {
         this.answerTimeoutMs = answerTimeoutMs;
         this.lastAnswerTimeoutMs = lastAnswerTimeoutMs;
     }
@@ -36,19 +36,20 @@
      * @param lastAnswerTimeoutMs how long the last router may take; the requesting router gives up by its request's own
      *     budget
      */
-    public static RoomBroker create(long answerTimeoutMs, long lastAnswerTimeoutMs) {
-        return new RoomBroker(answerTimeoutMs, lastAnswerTimeoutMs);
+    public static PreemptionBroker create(long answerTimeoutMs, long lastAnswerTimeoutMs) {
+        return new PreemptionBroker(answerTimeoutMs, lastAnswerTimeoutMs);
     }
 
     /**
      * Handles a preemption request for a request of {@code rank}; {@code routers} are all routers that use the engine.
      */
-    public List<RoomStep> requested(String routerId, long askId, int rank, Collection<String> routers, long nowMs) {
-        Deque<RoomStep.AskRouter> remainingAsks = new ArrayDeque<>();
+    public List<PreemptionStep> preemptionRequested(
+            String routerId, long askId, int rank, Collection<String> routers, long nowMs) {
+        Deque<PreemptionStep.AskRouter> remainingAsks = new ArrayDeque<>();
         for (int rankFloor = rank + 1; rankFloor >= rank; rankFloor--) {
             for (String other : routers) {
                 if (!other.equals(routerId)) {
-                    remainingAsks.addLast(new RoomStep.AskRouter(other, 0, rankFloor));
+                    remainingAsks.addLast(new PreemptionStep.AskRouter(other, 0, rankFloor));
                 }
             }
         }
@@ -56,14 +57,14 @@
     }
 
     /** Handles a router's answer; late and unknown answers are ignored. */
-    public List<RoomStep> answered(String routerId, long turnId, boolean made, long nowMs) {
+    public List<PreemptionStep> answered(String routerId, long turnId, boolean made, long nowMs) {
         PendingRequest request = pendingByTurn.get(turnId);
         if (request == null || !request.askedRouter.equals(routerId)) {
             return List.of();
         }
         pendingByTurn.remove(turnId);
         if (made) {
-            return List.of(new RoomStep.Answer(request.routerId, request.askId, true));
+            return List.of(new PreemptionStep.Answer(request.routerId, request.askId, true));
         }
         return askNext(request, nowMs);
     }
@@ -72,9 +73,9 @@
      * Handles the loss of a router's connection: the next router is asked in its place, and its own requests are
      * dropped.
      */
-    public List<RoomStep> left(String routerId, long nowMs) {
+    public List<PreemptionStep> routerDisconnected(String routerId, long nowMs) {
         pendingByTurn.values().removeIf(a -> a.routerId.equals(routerId));
-        List<RoomStep> out = new ArrayList<>();
+        List<PreemptionStep> out = new ArrayList<>();
         for (Map.Entry<Long, PendingRequest> e : List.copyOf(pendingByTurn.entrySet())) {
             if (e.getValue().askedRouter.equals(routerId)) {
                 pendingByTurn.remove(e.getKey());
@@ -85,8 +86,8 @@
     }
 
     /** Skips routers that did not answer in time. */
-    public List<RoomStep> tick(long nowMs) {
-        List<RoomStep> out = new ArrayList<>();
+    public List<PreemptionStep> tick(long nowMs) {
+        List<PreemptionStep> out = new ArrayList<>();
         for (Map.Entry<Long, PendingRequest> e : List.copyOf(pendingByTurn.entrySet())) {
             if (nowMs >= e.getValue().timesOutAtMs) {
                 pendingByTurn.remove(e.getKey());
@@ -98,20 +99,20 @@
     }
 
     /** Number of preemption requests not yet answered. */
-    public int open() {
+    public int pendingCount() {
         return pendingByTurn.size();
     }
 
-    private List<RoomStep> askNext(PendingRequest request, long nowMs) {
-        RoomStep.AskRouter next = request.remainingAsks.pollFirst();
+    private List<PreemptionStep> askNext(PendingRequest request, long nowMs) {
+        PreemptionStep.AskRouter next = request.remainingAsks.pollFirst();
         if (next == null) {
-            return List.of(new RoomStep.Answer(request.routerId, request.askId, false));
+            return List.of(new PreemptionStep.Answer(request.routerId, request.askId, false));
         }
         long turnId = nextTurnId++;
         request.askedRouter = next.routerId();
         request.timesOutAtMs = nowMs + (request.hasOtherRouters() ? answerTimeoutMs : lastAnswerTimeoutMs);
         pendingByTurn.put(turnId, request);
-        return List.of(new RoomStep.AskRouter(next.routerId(), turnId, next.rank()));
+        return List.of(new PreemptionStep.AskRouter(next.routerId(), turnId, next.rank()));
     }
 
     private static final class PendingRequest {
@@ -127,11 +128,11 @@
 
         private final String routerId;
         private final long askId;
-        private final Deque<RoomStep.AskRouter> remainingAsks;
+        private final Deque<PreemptionStep.AskRouter> remainingAsks;
         private String askedRouter = "";
         private long timesOutAtMs;
 
-        private PendingRequest(String routerId, long askId, Deque<RoomStep.AskRouter> remainingAsks) {
+        private PendingRequest(String routerId, long askId, Deque<PreemptionStep.AskRouter> remainingAsks) {
             this.routerId = routerId;
             this.askId = askId;
             this.remainingAsks = remainingAsks;
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/room/RoomStep.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/room/PreemptionStep.java
@@ -1,7 +1,7 @@
 package org.onyxhinge.core.room;
 
-/** A message that the {@link RoomBroker} requests to be sent. */
-public sealed interface RoomStep {
+/** A message that the {@link PreemptionBroker} requests to be sent. */
+public sealed interface PreemptionStep {
 
     /** The router that the message is sent to. */
     String routerId();
@@ -13,7 +13,7 @@
      * @param turnId id that its answer must carry
      * @param rank only requests with a higher rank number may be preempted
      */
-    record AskRouter(String routerId, long turnId, int rank) implements RoomStep {}
+    record AskRouter(String routerId, long turnId, int rank) implements PreemptionStep {}
 
     /**
      * Answers the router that requested the preemption.
@@ -22,5 +22,5 @@
      * @param askId the id that it gave
      * @param made true when another router preempted a request
      */
-    record Answer(String routerId, long askId, boolean made) implements RoomStep {}
+    record Answer(String routerId, long askId, boolean made) implements PreemptionStep {}
 }
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/route/Route.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/route/Route.java
@@ -57,7 +57,7 @@
      *
      * @param draw a random number from 0 (inclusive) to 1 (exclusive)
      */
-    public String pick(double draw) {
+    public String pickService(double draw) {
         int total = 0;
         for (ServiceShare s : shares) {
             total += s.weight();
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/Action.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/Action.java
@@ -45,12 +45,12 @@
 
     /**
      * Asks the other routers that use the engine, through its agent, to preempt a request of a lower tier. The result
-     * is passed to {@link Scheduler#roomAnswered}.
+     * is passed to {@link Scheduler#preemptionAnswered}.
      *
      * @param spec the request that would otherwise be refused
      * @param engineId the engine
      */
-    record AskRoom(RequestSpec spec, String engineId) implements Action {
+    record RequestPreemption(RequestSpec spec, String engineId) implements Action {
         @Override
         public String requestId() {
             return spec.requestId();
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/EngineState.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/EngineState.java
@@ -27,7 +27,7 @@
     private int othersInFlight;
     private boolean draining;
     private boolean unreachable;
-    private long lastHeardAtMs;
+    private long lastSeenAtMs;
     private int noVictimBelowRank = Integer.MAX_VALUE;
     private long noVictimUntilMs;
     private double actualFirstTokenMs;
@@ -37,7 +37,7 @@
     EngineState(EngineInfo info, int prefixCapacity, long nowMs) {
         this.info = info;
         this.prefixes = new PrefixCacheEstimate(prefixCapacity);
-        this.lastHeardAtMs = nowMs;
+        this.lastSeenAtMs = nowMs;
     }
 
     EngineInfo info() {
@@ -53,7 +53,7 @@
     }
 
     boolean silentFor(long silentMs, long nowMs) {
-        return nowMs - lastHeardAtMs > silentMs;
+        return nowMs - lastSeenAtMs > silentMs;
     }
 
     boolean hasFreeSlot() {
@@ -94,8 +94,8 @@
         return draining;
     }
 
-    long lastHeardAtMs() {
-        return lastHeardAtMs;
+    long lastSeenAtMs() {
+        return lastSeenAtMs;
     }
 
     double slowness() {
@@ -129,7 +129,7 @@
     }
 
     void applyReport(LoadReport report, long nowMs) {
-        lastHeardAtMs = nowMs;
+        lastSeenAtMs = nowMs;
         draining = report.draining();
         unreachable = false;
         othersInFlight = Math.max(0, report.running() + report.waiting() - running.size());
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/Scheduler.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/Scheduler.java
@@ -212,7 +212,7 @@
     public List<Action> tick(long nowMs) {
         List<Action> out = new ArrayList<>();
         stopOverdue(out, nowMs);
-        pendingPreemptions.timedOut(nowMs).forEach(id -> out.addAll(roomAnswered(id, false, nowMs)));
+        pendingPreemptions.timedOut(nowMs).forEach(id -> out.addAll(preemptionAnswered(id, false, nowMs)));
         for (String pool : queues.pools()) {
             if (!queues.isEmpty(pool)) {
                 out.addAll(expireQueued(pool, nowMs));
@@ -275,7 +275,7 @@
         if (engineToAsk.isPresent()) {
             pendingPreemptions.add(spec, engineToAsk.get().id(), nowMs);
             tracker.addInFlight(spec);
-            return List.of(new Action.AskRoom(spec, engineToAsk.get().id()));
+            return List.of(new Action.RequestPreemption(spec, engineToAsk.get().id()));
         }
         Invariants.check(
                 !Invariants.enabled() || !Preemption.preemptionCouldHelp(live, spec, nowMs),
@@ -285,10 +285,10 @@
     }
 
     /**
-     * Handles the result of {@link Action.AskRoom}: another router preempted a lower-tier request, or
+     * Handles the result of {@link Action.RequestPreemption}: another router preempted a lower-tier request, or
      * none had one, in which case the next engine is asked or the request is refused.
      */
-    public List<Action> roomAnswered(String requestId, boolean made, long nowMs) {
+    public List<Action> preemptionAnswered(String requestId, boolean made, long nowMs) {
         PendingPreemptions.Pending pending = pendingPreemptions.remove(requestId);
         if (pending == null) {
             return List.of();
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/SchedulerSnapshot.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/schedule/SchedulerSnapshot.java
@@ -24,7 +24,7 @@
      * @param othersInFlight requests of other routers running there, from the last report
      * @param draining true once the engine is draining
      * @param slowness observed slowdown factor against the announced speed, at least 1
-     * @param lastHeardAtMs time of the last report from its agent
+     * @param lastSeenAtMs time of the last report from its agent
      */
     public record Engine(
             String engineId,
@@ -33,7 +33,7 @@
             int othersInFlight,
             boolean draining,
             double slowness,
-            long lastHeardAtMs) {
+            long lastSeenAtMs) {
 
         private static Engine of(EngineState s) {
             return new Engine(
@@ -43,7 +43,7 @@
                     s.othersInFlight(),
                     s.draining(),
                     s.slowness(),
-                    s.lastHeardAtMs());
+                    s.lastSeenAtMs());
         }
     }
 
--- a/onyxhinge-core/src/main/java/org/onyxhinge/core/subset/Rendezvous.java
+++ b/onyxhinge-core/src/main/java/org/onyxhinge/core/subset/RendezvousHash.java
@@ -13,9 +13,9 @@
  * owner gets exactly that many, owners are spread over the candidates, and adding or removing one candidate changes at
  * most one choice of an owner.
  */
-public final class Rendezvous {
+public final class RendezvousHash {
 
-    private Rendezvous() {}
+    private RendezvousHash() {}
 
     /** The {@code n} candidates that rank first for {@code owner}; all candidates when there are no more than that. */
     public static List<String> choose(String owner, Collection<String> candidates, int n) {
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/engine/EngineModelTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/engine/EngineModelTest.java
@@ -27,7 +27,7 @@
     private double runUntilFinished(EngineRun run) {
         double ms = 0;
         while (!run.finished()) {
-            ms += engine.step().tookMs();
+            ms += engine.step().durationMs();
         }
         return ms;
     }
@@ -59,7 +59,7 @@
             engine.step();
             engine.submit(run(5_000, 10));
             EngineStep step = engine.step();
-            assertThat(step.tookMs(), closeTo(2 + 500 / 50.0, 1e-9));
+            assertThat(step.durationMs(), closeTo(2 + 500 / 50.0, 1e-9));
             assertThat(first.generatedTokens(), is(1));
         }
 
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/limit/RetryBudgetProperties.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/limit/RetryBudgetProperties.java
@@ -33,9 +33,9 @@
         for (long nowMs = 0; nowMs < 40_000; nowMs += 10) {
             for (RetryBudget b : budgets) {
                 if (random.nextInt(100) < requestsPerSecond) {
-                    b.requested("s", nowMs);
+                    b.countRequest("s", nowMs);
                     requests.add(nowMs);
-                    if (b.tryRepeat("s", routers, nowMs)) {
+                    if (b.tryRetry("s", routers, nowMs)) {
                         retries.add(nowMs);
                     }
                 }
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/limit/SharedQuotaProperties.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/limit/SharedQuotaProperties.java
@@ -63,7 +63,7 @@
         List<Router> all = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
             Router r = new Router();
-            r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
+            r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PriorUsage.None(), 0);
             all.add(r);
         }
         List<Admission> admitted = new ArrayList<>();
@@ -100,7 +100,7 @@
         List<Router> all = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
             Router r = new Router();
-            r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
+            r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PriorUsage.None(), 0);
             all.add(r);
         }
         List<Admission> admitted = new ArrayList<>();
@@ -115,7 +115,7 @@
             boolean down = nowMs >= 12_000 && nowMs < 13_000;
             if (nowMs == 13_000) {
                 for (Router r : all) {
-                    r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.Unknown(), nowMs);
+                    r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PriorUsage.Unknown(), nowMs);
                 }
             }
             // Typical load is 1 / 1.8 of the rate; overload is four times the rate.
@@ -158,7 +158,7 @@
         long[] backAtMs = new long[routers];
         for (int i = 0; i < routers; i++) {
             Router r = new Router();
-            r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
+            r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PriorUsage.None(), 0);
             all.add(r);
             backAtMs[i] = 12_800 + (long) (i % waves) * 700;
         }
@@ -172,7 +172,7 @@
                 Router r = all.get(i);
                 if (nowMs == backAtMs[i]) {
                     r.restart();
-                    r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.Unknown(), nowMs);
+                    r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PriorUsage.Unknown(), nowMs);
                 }
                 if (nowMs >= 12_000 && nowMs < backAtMs[i]) {
                     continue;
@@ -201,19 +201,19 @@
     @Test
     void recordedUsageAvoidsRefusalsOfTypicalLoadAfterRestartOfAllRouters() {
         long used = (long) (TYPICAL_PER_SECOND * WINDOW_MS / 1_000);
-        PastUse recorded = new PastUse.Recorded(used, 1_700, 1_700, LIMIT / 20);
+        PriorUsage recorded = new PriorUsage.Recorded(used, 1_700, 1_700, LIMIT / 20);
         double withRecord = 0;
         double without = 0;
         int seeds = 40;
         for (int seed = 1; seed <= seeds; seed++) {
             withRecord += refusedFraction(recorded, 1 + seed % 6, seed) / seeds;
-            without += refusedFraction(new PastUse.Unknown(), 1 + seed % 6, seed) / seeds;
+            without += refusedFraction(new PriorUsage.Unknown(), 1 + seed % 6, seed) / seeds;
         }
         assertThat(withRecord, lessThanOrEqualTo(0.03));
         assertThat(without, greaterThan(3 * withRecord));
     }
 
-    private static double refusedFraction(PastUse past, int routers, long seed) {
+    private static double refusedFraction(PriorUsage past, int routers, long seed) {
         Random random = new Random(seed);
         List<Router> all = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
@@ -248,7 +248,7 @@
             @ForAll @IntRange(min = 100, max = 3_000) int ageMs,
             @ForAll long seed) {
         Random random = new Random(seed);
-        SharedQuota before = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
+        SharedQuota before = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PriorUsage.None(), 0);
         List<Admission> admitted = new ArrayList<>();
         long recordedUnits = 0;
         long recordedAtMs = 20_000;
@@ -258,7 +258,7 @@
             }
             SharedQuota quota = before;
             if (nowMs == recordedAtMs + ageMs / STEP_MS * STEP_MS) {
-                PastUse past = new PastUse.Recorded(recordedUnits, ageMs, ageMs, LIMIT / 20);
+                PriorUsage past = new PriorUsage.Recorded(recordedUnits, ageMs, ageMs, LIMIT / 20);
                 before = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, past, nowMs);
                 quota = before;
             }
@@ -285,7 +285,7 @@
             @ForAll @IntRange(min = -2_900, max = 2_900) int stepMs,
             @ForAll long seed) {
         Random random = new Random(seed);
-        SharedQuota quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
+        SharedQuota quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PriorUsage.None(), 0);
         List<Admission> admitted = new ArrayList<>();
         long recordedUnits = 0;
         long recordedAtMs = 20_000;
@@ -297,7 +297,7 @@
             }
             if (nowMs == backAtMs) {
                 long ageMs = backAtMs - recordedAtMs + stepMs;
-                PastUse past = PastUse.recorded(recordedUnits, ageMs, 0, WINDOW_MS, LIMIT / 20);
+                PriorUsage past = PriorUsage.recorded(recordedUnits, ageMs, 0, WINDOW_MS, LIMIT / 20);
                 quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, past, nowMs);
             }
             boolean up = nowMs < lostAtMs || nowMs >= backAtMs;
@@ -314,10 +314,10 @@
     @Test
     void futureTimestampIsAcceptedWithinMaxClockSkew() {
         assertThat(
-                PastUse.recorded(70, -2_400, 0, WINDOW_MS, 5),
-                is(new PastUse.Recorded(70, 0, PastUse.MAX_CLOCK_SKEW_MS, 5)));
-        assertThat(PastUse.recorded(70, -60_000, 0, WINDOW_MS, 5), is(new PastUse.Unknown()));
-        assertThat(PastUse.recorded(70, WINDOW_MS, 0, WINDOW_MS, 5), is(new PastUse.Unknown()));
+                PriorUsage.recorded(70, -2_400, 0, WINDOW_MS, 5),
+                is(new PriorUsage.Recorded(70, 0, PriorUsage.MAX_CLOCK_SKEW_MS, 5)));
+        assertThat(PriorUsage.recorded(70, -60_000, 0, WINDOW_MS, 5), is(new PriorUsage.Unknown()));
+        assertThat(PriorUsage.recorded(70, WINDOW_MS, 0, WINDOW_MS, 5), is(new PriorUsage.Unknown()));
     }
 
     /** A rolling restart of all routers under a workspace's typical load refuses nothing. */
@@ -327,7 +327,7 @@
         List<Router> all = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
             Router r = new Router();
-            r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
+            r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PriorUsage.None(), 0);
             all.add(r);
         }
         double perStep = PER_SECOND / 1.8 * STEP_MS / 1_000 / routers / UNITS;
@@ -338,7 +338,7 @@
                 if (nowMs == 10_000 + i * 1_300L) {
                     r.incarnation++;
                     r.inbox.clear();
-                    r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.Unknown(), nowMs);
+                    r.quota = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PriorUsage.Unknown(), nowMs);
                 }
                 deliver(r, nowMs, 20);
                 boolean mayTake = nowMs < 10_000 + i * 1_300L || nowMs > 10_200 + i * 1_300L;
@@ -367,7 +367,7 @@
             if (to != from && !(partitionActive && (to == 0 || from == 0))) {
                 SharedQuota q = all.get(from).quota;
                 all.get(to).inbox.add(new long[] {
-                    from, q.ownTotal(), q.knownWindow(nowMs).orElse(-1), nowMs, all.get(from).incarnation
+                    from, q.ownTotal(), q.knownUsage(nowMs).orElse(-1), nowMs, all.get(from).incarnation
                 });
             }
         }
@@ -390,7 +390,7 @@
 
     @Test
     void restartedRouterAdoptsUsageFromAPeerThatKnowsTheWindow() {
-        SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.Unknown(), 0);
+        SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PriorUsage.Unknown(), 0);
         q.heard("peer", 1, 1_000_000, OptionalLong.of(LIMIT * 3 / 4), 0);
         long left = 0;
         for (long nowMs = 10; nowMs < 1_000; nowMs += 5) {
@@ -406,7 +406,7 @@
     @Test
     void restartedRouterWithoutPeersServesItsShareOfTheRemainder() {
         int routers = 6;
-        SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.Unknown(), 0);
+        SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PriorUsage.Unknown(), 0);
         long admitted = 0;
         for (long nowMs = 10; nowMs < 500; nowMs += 10) {
             admitted += q.tryTake(UNITS, 0, 1.0 / routers, nowMs) ? UNITS : 0;
@@ -417,14 +417,14 @@
 
     @Test
     void lowerRanksAreServedAfterARestart() {
-        SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.Unknown(), 0);
+        SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PriorUsage.Unknown(), 0);
         assertThat(q.tryTake(UNITS, 2, 0.25, 10), is(true));
     }
 
     /** The limit of a workspace was lowered below the demand of its most urgent rank alone. */
     @Test
     void noRankIsStarvedInAWorkspaceAtItsLimit() {
-        SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
+        SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PriorUsage.None(), 0);
         long first = 0;
         long last = 0;
         for (long nowMs = 10; nowMs < 40_000; nowMs += 10) {
@@ -438,7 +438,7 @@
 
     @Test
     void lowerRanksLeaveAReserveNearTheLimit() {
-        SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
+        SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PriorUsage.None(), 0);
         int refused = 0;
         for (long nowMs = 10; nowMs < WINDOW_MS; nowMs += 10) {
             boolean lower = q.tryTake(500, 2, 1, nowMs);
@@ -450,7 +450,7 @@
 
     @Test
     void loweredLimitAppliesAtOnceAndCallsThatNeverRanAreRefunded() {
-        SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PastUse.None(), 0);
+        SharedQuota q = SharedQuota.create(PER_SECOND, BURST, WINDOW_MS, new PriorUsage.None(), 0);
         long bucket = (long) (2 * BURST);
         assertThat(q.tryTake(bucket, 0, 1, 10), is(true));
         assertThat(q.waitMs(500, 0, 1, 10) > 0, is(true));
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/limit/TokenBucketTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/limit/TokenBucketTest.java
@@ -9,7 +9,7 @@
 
     @Test
     void startsEmptyAndRefillsUpToItsCapacity() {
-        TokenBucket bucket = TokenBucket.filling(2, 3, 1_000);
+        TokenBucket bucket = TokenBucket.startingEmpty(2, 3, 1_000);
         assertThat(bucket.tokens(1_000), is(0));
         assertThat(bucket.tokens(1_499), is(0));
         assertThat(bucket.tokens(1_500), is(1));
@@ -18,7 +18,7 @@
 
     @Test
     void deficitIsRefilledFirst() {
-        TokenBucket bucket = TokenBucket.filling(2, 1, 0);
+        TokenBucket bucket = TokenBucket.startingEmpty(2, 1, 0);
         bucket.take(0);
         assertThat(bucket.tokens(500), is(0));
         assertThat(bucket.tokens(1_000), is(1));
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/quarantine/FleetQuarantineTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/quarantine/FleetQuarantineTest.java
@@ -130,7 +130,7 @@
 
         private void applyCrashes(Quarantine router, List<Crash> crashes) {
             for (Crash c : crashes) {
-                switch (router.crashed(c, nowMs)) {
+                switch (router.recordCrash(c, nowMs)) {
                     case QUARANTINED -> quarantined.add(c.request());
                     case CLEARED ->
                         broadcastAnswered(
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/quarantine/QuarantineTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/quarantine/QuarantineTest.java
@@ -23,7 +23,7 @@
     private final Quarantine quarantine = Quarantine.create();
 
     private Quarantine.Effect crash(RequestFingerprint request, String incarnation, long atMs) {
-        return quarantine.crashed(new Crash(request, incarnation, atMs), atMs);
+        return quarantine.recordCrash(new Crash(request, incarnation, atMs), atMs);
     }
 
     private void crashThree(RequestFingerprint request, long atMs) {
@@ -143,7 +143,7 @@
         for (int i = 0; i < 12; i++) {
             Crash crash = new Crash(
                     random.nextInt(3) == 0 ? CONCURRENT : CRASHING, "t" + random.nextInt(6), random.nextInt(9_000));
-            reports.add(() -> current[0].crashed(crash, 10_000));
+            reports.add(() -> current[0].recordCrash(crash, 10_000));
         }
         if (random.nextBoolean()) {
             long answeredAtMs = random.nextInt(9_000);
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/room/PreemptionBrokerProperties.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/room/PreemptionBrokerProperties.java
@@ -54,7 +54,7 @@
         for (int step = 0; step < 300; step++) {
             fleet.step();
         }
-        fleet.brokers.values().forEach(b -> assertThat("unanswered preemption requests", b.open(), equalTo(0)));
+        fleet.brokers.values().forEach(b -> assertThat("unanswered preemption requests", b.pendingCount(), equalTo(0)));
     }
 
     /**
@@ -63,16 +63,17 @@
      */
     @Example
     void unresponsiveRouterIsSkippedAndNotAskedAgainForTheSameRequest() {
-        RoomBroker broker = RoomBroker.create(ANSWER_TIMEOUT_MS, LAST_ANSWER_TIMEOUT_MS);
-        assertThat(broker.requested("r1", 7, 0, List.of("r1", "r2", "r3"), 100), contains((RoomStep)
-                new RoomStep.AskRouter("r2", 1, 1)));
+        PreemptionBroker broker = PreemptionBroker.create(ANSWER_TIMEOUT_MS, LAST_ANSWER_TIMEOUT_MS);
+        assertThat(broker.preemptionRequested("r1", 7, 0, List.of("r1", "r2", "r3"), 100), contains((PreemptionStep)
+                new PreemptionStep.AskRouter("r2", 1, 1)));
         assertThat(broker.tick(119), empty());
-        assertThat(broker.tick(120), contains((RoomStep) new RoomStep.AskRouter("r3", 2, 1)));
+        assertThat(broker.tick(120), contains((PreemptionStep) new PreemptionStep.AskRouter("r3", 2, 1)));
         assertThat("late answer", broker.answered("r2", 1, true, 121), empty());
-        assertThat("r2 is not asked again", broker.answered("r3", 2, false, 122), contains((RoomStep)
-                new RoomStep.AskRouter("r3", 3, 0)));
-        assertThat(broker.left("r3", 123), contains((RoomStep) new RoomStep.Answer("r1", 7, false)));
-        assertThat(broker.open(), equalTo(0));
+        assertThat("r2 is not asked again", broker.answered("r3", 2, false, 122), contains((PreemptionStep)
+                new PreemptionStep.AskRouter("r3", 3, 0)));
+        assertThat(broker.routerDisconnected("r3", 123), contains((PreemptionStep)
+                new PreemptionStep.Answer("r1", 7, false)));
+        assertThat(broker.pendingCount(), equalTo(0));
     }
 
     /**
@@ -81,15 +82,16 @@
      */
     @Example
     void lastRouterIsNotSkippedAfterTheShorterTimeout() {
-        RoomBroker broker = RoomBroker.create(ANSWER_TIMEOUT_MS, LAST_ANSWER_TIMEOUT_MS);
-        broker.requested("r1", 7, 0, List.of("r1", "r2", "r3"), 100);
-        assertThat(broker.tick(120), contains((RoomStep) new RoomStep.AskRouter("r3", 2, 1)));
+        PreemptionBroker broker = PreemptionBroker.create(ANSWER_TIMEOUT_MS, LAST_ANSWER_TIMEOUT_MS);
+        broker.preemptionRequested("r1", 7, 0, List.of("r1", "r2", "r3"), 100);
+        assertThat(broker.tick(120), contains((PreemptionStep) new PreemptionStep.AskRouter("r3", 2, 1)));
         assertThat(broker.tick(120 + LAST_ANSWER_TIMEOUT_MS - 1), empty());
-        assertThat(broker.answered("r3", 2, true, 400), contains((RoomStep) new RoomStep.Answer("r1", 7, true)));
-        broker.requested("r1", 8, 0, List.of("r1", "r2"), 1_000);
-        assertThat("router did not answer", broker.tick(1_000 + LAST_ANSWER_TIMEOUT_MS), contains((RoomStep)
-                new RoomStep.Answer("r1", 8, false)));
-        assertThat(broker.open(), equalTo(0));
+        assertThat(broker.answered("r3", 2, true, 400), contains((PreemptionStep)
+                new PreemptionStep.Answer("r1", 7, true)));
+        broker.preemptionRequested("r1", 8, 0, List.of("r1", "r2"), 1_000);
+        assertThat("router did not answer", broker.tick(1_000 + LAST_ANSWER_TIMEOUT_MS), contains((PreemptionStep)
+                new PreemptionStep.Answer("r1", 8, false)));
+        assertThat(broker.pendingCount(), equalTo(0));
     }
 
     /** Routers and brokers with immediate, ordered message delivery. */
@@ -97,7 +99,7 @@
         private final Random random;
         private final Map<String, Scheduler> routers = new TreeMap<>();
         private final Map<String, EngineInfo> engines = new TreeMap<>();
-        private final Map<String, RoomBroker> brokers = new TreeMap<>();
+        private final Map<String, PreemptionBroker> brokers = new TreeMap<>();
         private final Map<String, Map<String, RequestSpec>> running = new TreeMap<>();
         private final Map<String, String> engineByRequest = new HashMap<>();
         private final Map<Long, String> requestByAskId = new HashMap<>();
@@ -112,7 +114,7 @@
             for (int i = 0; i < engineCount; i++) {
                 String id = "e" + i;
                 engines.put(id, new EngineInfo(id, "p", "h", i, 1 + random.nextInt(3), 1_000_000_000, 1_000, false));
-                brokers.put(id, RoomBroker.create(ANSWER_TIMEOUT_MS, LAST_ANSWER_TIMEOUT_MS));
+                brokers.put(id, PreemptionBroker.create(ANSWER_TIMEOUT_MS, LAST_ANSWER_TIMEOUT_MS));
             }
             for (int i = 0; i < routerCount; i++) {
                 Scheduler s = Scheduler.create(settings);
@@ -161,27 +163,27 @@
                     }
                     case Action.Refuse r -> assertNothingLowerRuns(r);
                     case Action.Cancel c -> running.get(router).remove(c.requestId());
-                    case Action.AskRoom ask -> ask(router, ask);
+                    case Action.RequestPreemption ask -> ask(router, ask);
                 }
             }
         }
 
-        private void ask(String router, Action.AskRoom ask) {
+        private void ask(String router, Action.RequestPreemption ask) {
             long askId = nextAskId++;
             requestByAskId.put(askId, ask.requestId());
-            RoomBroker broker = brokers.get(ask.engineId());
-            Deque<RoomStep> steps = new ArrayDeque<>(
-                    broker.requested(router, askId, ask.spec().tier().rank(), routers.keySet(), nowMs));
+            PreemptionBroker broker = brokers.get(ask.engineId());
+            Deque<PreemptionStep> steps = new ArrayDeque<>(
+                    broker.preemptionRequested(router, askId, ask.spec().tier().rank(), routers.keySet(), nowMs));
             while (!steps.isEmpty()) {
                 switch (steps.pollFirst()) {
-                    case RoomStep.AskRouter query -> {
+                    case PreemptionStep.AskRouter query -> {
                         Optional<Action> stopped = routers.get(query.routerId()).makeRoom(ask.engineId(), query.rank());
                         stopped.ifPresent(s -> carryOut(query.routerId(), List.of(s)));
                         steps.addAll(broker.answered(query.routerId(), query.turnId(), stopped.isPresent(), nowMs));
                     }
-                    case RoomStep.Answer answer -> {
+                    case PreemptionStep.Answer answer -> {
                         String requestId = requestByAskId.remove(answer.askId());
-                        carryOut(router, routers.get(router).roomAnswered(requestId, answer.made(), nowMs));
+                        carryOut(router, routers.get(router).preemptionAnswered(requestId, answer.made(), nowMs));
                     }
                 }
             }
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/route/ForwardingConfigTest.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/route/ForwardingConfigTest.java
@@ -84,7 +84,7 @@
         Route r = route("r", "a", "/x/", new ServiceShare("s", 90), new ServiceShare("t", 10));
         int toS = 0;
         for (int i = 0; i < 1_000; i++) {
-            toS += r.pick(i / 1_000.0).equals("s") ? 1 : 0;
+            toS += r.pickService(i / 1_000.0).equals("s") ? 1 : 0;
         }
         assertThat(toS, is(both(greaterThan(895)).and(lessThan(905))));
     }
--- a/onyxhinge-core/src/test/java/org/onyxhinge/core/schedule/SchedulerProperties.java
+++ b/onyxhinge-core/src/test/java/org/onyxhinge/core/schedule/SchedulerProperties.java
@@ -209,7 +209,7 @@
                         }
                         end(r.requestId(), "refused");
                     }
-                    case Action.AskRoom r -> apply(scheduler.roomAnswered(r.requestId(), false, nowMs));
+                    case Action.RequestPreemption r -> apply(scheduler.preemptionAnswered(r.requestId(), false, nowMs));
                     case Action.Cancel c -> {
                         assertThat(policyUsesTiers() || c.refusal().reason() != RefusalReason.PREEMPTED, is(true));
                         running.remove(c.requestId());
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterNode.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterNode.java
@@ -245,7 +245,7 @@
             case PeerMessage.RoomReply r -> {
                 String requestId = roomAsks.remove(r.askId());
                 if (requestId != null) {
-                    execute(scheduler.roomAnswered(requestId, r.made(), MonotonicClock.nowMs()));
+                    execute(scheduler.preemptionAnswered(requestId, r.made(), MonotonicClock.nowMs()));
                 }
             }
             case PeerMessage.OrderReply o -> LOG.warnf("order reply not expected engine=%s", engineId);
@@ -267,14 +267,14 @@
         agents.send(engineId, new PeerMessage.Yielded(y.turnId(), stopped.isPresent()));
     }
 
-    private void askRoom(Action.AskRoom ask) {
+    private void askRoom(Action.RequestPreemption ask) {
         long askId = nextAskId++;
         PeerMessage.RoomRequest request =
                 new PeerMessage.RoomRequest(askId, ask.spec().tier().rank());
         if (agents.send(ask.engineId(), request)) {
             roomAsks.put(askId, ask.requestId());
         } else {
-            execute(scheduler.roomAnswered(ask.requestId(), false, MonotonicClock.nowMs()));
+            execute(scheduler.preemptionAnswered(ask.requestId(), false, MonotonicClock.nowMs()));
         }
     }
 
@@ -298,7 +298,7 @@
                 claims.ended(r.requestId(), false);
                 f.traffic().runOnContext(v -> f.dispatcher().refuse(f, r.refusal()));
             }
-            case Action.AskRoom ask -> askRoom(ask);
+            case Action.RequestPreemption ask -> askRoom(ask);
             case Action.Cancel c -> {
                 flights.remove(c.requestId());
                 f.traffic().runOnContext(v -> f.dispatcher().cancel(f, c.refusal()));
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/SnapshotJson.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/SnapshotJson.java
@@ -19,7 +19,7 @@
                     .put("othersInFlight", e.othersInFlight())
                     .put("draining", e.draining())
                     .put("slowness", e.slowness())
-                    .put("silentMs", nowMs - e.lastHeardAtMs()));
+                    .put("silentMs", nowMs - e.lastSeenAtMs()));
         }
         JsonObject queued = new JsonObject();
         s.queuedByPool().forEach(queued::put);
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/dispatch/Flight.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/dispatch/Flight.java
@@ -3,8 +3,8 @@
 import io.vertx.core.Context;
 import io.vertx.core.http.HttpClientRequest;
 import io.vertx.core.http.HttpServerRequest;
-import org.onyxhinge.core.chart.Machine;
 import org.onyxhinge.core.chart.StateChart;
+import org.onyxhinge.core.chart.StateMachine;
 import org.onyxhinge.core.model.RequestSpec;
 import org.onyxhinge.router.http.CallerRequest;
 
@@ -23,7 +23,7 @@
     final CallerRequest request;
     final HttpServerRequest caller;
     final Context traffic;
-    final Machine machine;
+    final StateMachine machine;
     final long arrivedNs;
     volatile long decidedNs;
     long dispatchedNs;
@@ -49,7 +49,7 @@
         this.caller = caller;
         this.traffic = traffic;
         this.arrivedNs = arrivedNs;
-        this.machine = Machine.start(CHART, spec.requestId());
+        this.machine = StateMachine.start(CHART, spec.requestId());
     }
 
     /** Creates a flight for a checked request, to be carried out by {@code dispatcher} on {@code traffic}. */
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallPlan.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallPlan.java
@@ -51,7 +51,7 @@
                 check.config(),
                 route,
                 check.workspace(),
-                route.pick(ThreadLocalRandom.current().nextDouble()),
+                route.pickService(ThreadLocalRandom.current().nextDouble()),
                 arrivedAtMs,
                 CallTimes.of(arrivedAtMs, waitedBeforeMs, route.targetLatencyMs(), deadlineMs));
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CrashingRequests.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CrashingRequests.java
@@ -101,7 +101,7 @@
     private void takeIn(List<Crash> crashes) {
         long nowMs = MonotonicClock.nowMs();
         for (Crash crash : crashes) {
-            switch (quarantine.crashed(crash, nowMs)) {
+            switch (quarantine.recordCrash(crash, nowMs)) {
                 case QUARANTINED -> quarantinedNow(crash.request(), nowMs);
                 case CLEARED -> tellAnswered(crash.request(), nowMs);
                 default -> metrics.event("crashes.heard");
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Exchange.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Exchange.java
@@ -135,7 +135,7 @@
             return;
         }
         quotaTaken = true;
-        forwarder.retries().requested(plan.service(), nowMs);
+        forwarder.retries().countRequest(plan.service(), nowMs);
         stream.resumeAfter(plan.head().lastEventId());
         place();
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Tries.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Tries.java
@@ -54,6 +54,6 @@
     boolean mayRepeat(CallPlan plan, Forwarder forwarder) {
         return sends < plan.route().maxAttempts()
                 && plan.timeForAnother()
-                && forwarder.retries().tryRepeat(plan.service(), forwarder.routers(), MonotonicClock.nowMs());
+                && forwarder.retries().tryRetry(plan.service(), forwarder.routers(), MonotonicClock.nowMs());
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/WorkspaceQuotas.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/WorkspaceQuotas.java
@@ -7,7 +7,7 @@
 import java.util.function.Function;
 
 import org.jboss.logging.Logger;
-import org.onyxhinge.core.limit.PastUse;
+import org.onyxhinge.core.limit.PriorUsage;
 import org.onyxhinge.core.limit.QuotaState;
 import org.onyxhinge.core.limit.SharedQuota;
 import org.onyxhinge.core.route.WorkspaceAccess;
@@ -92,19 +92,19 @@
         SharedQuota quota = SharedQuota.create(
                 workspace.quotaPerSecond(), workspace.quotaBurst(), windowMs, pastUse(workspace, nowMs), nowMs);
         // Those that were heard would have said so, had they let anything through.
-        lives.forEach(quota::unusedBy);
+        lives.forEach(quota::addIdlePeer);
         return quota;
     }
 
     /** What was used before a restart is unknown for the first window of a router's life, but for what is on record. */
-    private PastUse pastUse(WorkspaceAccess workspace, long nowMs) {
+    private PriorUsage pastUse(WorkspaceAccess workspace, long nowMs) {
         if (nowMs - startedAtMs >= windowMs) {
-            return new PastUse.None();
+            return new PriorUsage.None();
         }
-        return record.map(r ->
-                        PastUse.recorded(r.units(workspace.name()), recordAgeMs, nowMs - startedAtMs, windowMs, (long)
+        return record.map(r -> PriorUsage.recorded(
+                        r.units(workspace.name()), recordAgeMs, nowMs - startedAtMs, windowMs, (long)
                                 (TOLERANCE_PART * tolerance(workspace))))
-                .orElseGet(PastUse.Unknown::new);
+                .orElseGet(PriorUsage.Unknown::new);
     }
 
     private double tolerance(WorkspaceAccess workspace) {
@@ -120,7 +120,7 @@
     /** Takes in what was on record when this router started. */
     void recorded(UsageRecord used) {
         long ageMs = startedAtEpochMs - used.asOfMs();
-        boolean plausible = !(PastUse.recorded(0, ageMs, 0, windowMs, 0) instanceof PastUse.Unknown);
+        boolean plausible = !(PriorUsage.recorded(0, ageMs, 0, windowMs, 0) instanceof PriorUsage.Unknown);
         if (wantsRecord() && plausible) {
             record = Optional.of(used);
             recordAgeMs = ageMs;
@@ -162,7 +162,7 @@
     /** What all routers let through in the window, by workspace, as far as it is known here. */
     Map<String, Long> knownWindows(long nowMs) {
         Map<String, Long> out = new HashMap<>();
-        quotas.forEach((name, q) -> q.knownWindow(nowMs).ifPresent(units -> out.put(name, units)));
+        quotas.forEach((name, q) -> q.knownUsage(nowMs).ifPresent(units -> out.put(name, units)));
         return out;
     }
 
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/peer/AgentLinks.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/peer/AgentLinks.java
@@ -12,7 +12,7 @@
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.NetClientOptions;
 import org.jboss.logging.Logger;
-import org.onyxhinge.core.subset.Rendezvous;
+import org.onyxhinge.core.subset.RendezvousHash;
 import org.onyxhinge.wire.kv.KvClient;
 import org.onyxhinge.wire.kv.KvEntry;
 import org.onyxhinge.wire.kv.KvKeys;
@@ -135,7 +135,7 @@
                 candidates.add(engineId);
             }
         });
-        Set<String> chosen = new HashSet<>(Rendezvous.choose(routerId, candidates, perPool));
+        Set<String> chosen = new HashSet<>(RendezvousHash.choose(routerId, candidates, perPool));
         links.entrySet().removeIf(e -> {
             if (!chosen.contains(e.getKey())) {
                 e.getValue().close();
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/QuarantineBenchmark.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/QuarantineBenchmark.java
@@ -40,7 +40,7 @@
     public void fill() {
         quarantine = Quarantine.create();
         for (int i = 0; i < suspects; i++) {
-            quarantine.crashed(new Crash(new RequestFingerprint(i, i), "t", NOW_MS), NOW_MS);
+            quarantine.recordCrash(new Crash(new RequestFingerprint(i, i), "t", NOW_MS), NOW_MS);
         }
         body = new byte[bodyBytes];
     }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/SimEngine.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/SimEngine.java
@@ -115,9 +115,9 @@
 
     private void step() {
         EngineStep step = model.step();
-        stepping = step.tookMs() > 0;
+        stepping = step.durationMs() > 0;
         if (stepping) {
-            time.after(step.tookMs(), () -> {
+            time.after(step.durationMs(), () -> {
                 step.events().forEach(run -> tell(run, Progress.EVENT));
                 step.ended().forEach(run -> {
                     tell(run, Progress.WHOLE);
