--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/AnswerHead.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/AnswerHead.java
@@ -3,17 +3,16 @@
 import org.onyxhinge.core.place.NamedLimit;
 
 /**
- * What the head of a target's answer says.
+ * Status and headers of a target's response.
  *
  * @param status HTTP status
- * @param notRun the target states that it did not run the call
- * @param foreign it answers another call
- * @param trusted it bears a target's signature and is in the form that was asked for
- * @param limit what it says of the target's rate limit
+ * @param notRun whether the target states that it did not execute the call
+ * @param foreign whether the response belongs to a different request
+ * @param trusted whether the response carries a target's signature and has the expected encoding
+ * @param limit the rate limit that the target reports
  */
 public record AnswerHead(int status, boolean notRun, boolean foreign, boolean trusted, NamedLimit limit) {
 
-    /** True for a 2xx status. */
     public boolean success() {
         return status >= 200 && status < 300;
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Attempt.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Attempt.java
@@ -14,72 +14,75 @@
 import org.onyxhinge.wire.MonotonicClock;
 
 /**
- * One try of a call at one target: takes a connection, sends the call, and reports each step to its
- * owner. It ends exactly once; after that nothing more is reported and the target's place is free.
+ * One attempt to send a call to one target: acquires a connection, sends the call, and reports each step to its owner.
+ * It ends exactly once; after that nothing more is reported and the target's slot is free.
  */
 final class Attempt {
 
-    /** An answer that is kept whole before it is passed on is at most this large. */
+    /** Maximum size of a response body that is buffered completely before it is forwarded. */
     private static final int MAX_BUFFERED_BYTES = 8 << 20;
 
     private final Forwarder forwarder;
     private final Owner owner;
     private final Call call;
     private final TargetState target;
-    private final long tokensToRead;
+    private final long ownPrefillTokens;
     private TargetConnection connection;
     private HttpClientRequest request;
     private HttpClientResponse response;
-    private boolean written;
+    private boolean requestWritten;
     private boolean firstByteSeen;
     private boolean ended;
     private long sentAtMs = -1;
-    private long heardAtMs;
+    private long lastByteAtMs;
     private Buffer body;
 
-    /** Hears what becomes of an attempt. */
+    /** Supplies the request of an attempt and receives its events. */
     interface Owner {
 
-        /** Fills in the request for the target; false when it must no longer be sent. */
+        /** Fills in the request for the target; false if the call must no longer be sent. */
         boolean prepare(RequestOptions options, TargetState target);
 
-        /** Whether the call may be sent to another target after this one may have run it. */
+        /** Whether the call may be sent to another target after this one may have executed it. */
         boolean repeatable();
 
-        /** What is sent as the body. */
+        /** The request body. */
         Buffer body();
 
-        /** The caller's id of the call. */
+        /** The request id that the caller chose. */
         String requestId();
 
-        /** What the caller asks for, whatever the id. */
+        /** Identifies what the caller asks for, independent of the request id. */
         RequestFingerprint fingerprint();
 
-        /** Hears what the head of the answer says of the target's rate limit. */
+        /** Called with the rate limit that the response headers report. */
         void limitNamed(NamedLimit limit);
 
-        /** No byte was sent; it has not run. */
-        void unsent(Attempt attempt, String why);
+        /** Called when the attempt failed before any byte was sent; the call was not executed. */
+        void notSent(Attempt attempt, String why);
 
-        /** The target says that it did not run the call. */
+        /** Called when the target states that it did not execute the call. */
         void notRun(Attempt attempt, AnswerHead head, HttpClientResponse response);
 
-        /** A whole answer has come. */
+        /** Called with a complete response. */
         void answered(Attempt attempt, AnswerHead head, HttpClientResponse response, Buffer body);
 
-        /** A stream of events begins; false stops the attempt. */
+        /** Called when an event stream begins; if it returns false, the response is buffered instead. */
         boolean streamBegins(Attempt attempt, AnswerHead head, HttpClientResponse response);
 
-        /** Bytes of the stream. */
+        /** Called with bytes of the stream. */
         void streamBytes(Attempt attempt, Buffer bytes);
 
-        /** The stream is whole. */
+        /** Called when the stream has ended normally. */
         void streamEnded(Attempt attempt);
 
-        /** It broke off after it was sent; it may have run. */
-        void broke(Attempt attempt, String why);
+        /** Called when the connection broke after the call was sent; the call may have been executed. */
+        void connectionBroke(Attempt attempt, String why);
 
-        /** Nothing has come for too long; it goes on, and may still be answered, unless it is cancelled. */
+        /**
+         * Called when the target has been silent for too long. The attempt stays active and may still be answered
+         * unless it is cancelled.
+         */
         void silent(Attempt attempt, String why);
     }
 
@@ -88,32 +91,32 @@
         this.owner = owner;
         this.call = call;
         this.target = target;
-        this.tokensToRead = target.ownPrefillTokens();
+        this.ownPrefillTokens = target.ownPrefillTokens();
     }
 
-    /** Starts a try; the placement has already counted it on the target. */
+    /** Starts an attempt; the placement has already counted it against the target. */
     static Attempt start(Forwarder forwarder, Owner owner, Call call, TargetState target) {
         Attempt a = new Attempt(forwarder, owner, call, target);
         forwarder.attempts().add(a);
         return a;
     }
 
-    /** Takes a connection and sends. */
-    void run(int mostConnections) {
+    /** Acquires a connection and sends the call. */
+    void run(int connectionLimit) {
         forwarder
                 .connections()
-                .acquire(target.info(), mostConnections)
+                .acquire(target.info(), connectionLimit)
                 .onSuccess(this::connected)
                 .onFailure(e -> {
-                    forwarder.crashing().notReached(target, e);
+                    forwarder.crashQuarantine().connectFailed(target, e);
                     forwarder.placement().unreachable(target, MonotonicClock.nowMs());
-                    endUnsent("connect: " + e.getMessage());
+                    endNotSent("connect: " + e.getMessage());
                 });
     }
 
-    private void endUnsent(String why) {
+    private void endNotSent(String why) {
         if (finish(false)) {
-            owner.unsent(this, why);
+            owner.notSent(this, why);
         }
     }
 
@@ -127,10 +130,10 @@
         if (!target.takesCalls() || !owner.prepare(options, target)) {
             forwarder.connections().release(c, null);
             connection = null;
-            endUnsent("no longer to be sent");
+            endNotSent("call ended before it was sent");
             return;
         }
-        c.http().request(options).onSuccess(this::send).onFailure(e -> endUnsent("request: " + e.getMessage()));
+        c.http().request(options).onSuccess(this::send).onFailure(e -> endNotSent("request: " + e.getMessage()));
     }
 
     private void send(HttpClientRequest r) {
@@ -140,36 +143,36 @@
             return;
         }
         sentAtMs = MonotonicClock.nowMs();
-        heardAtMs = sentAtMs;
+        lastByteAtMs = sentAtMs;
         r.exceptionHandler(this::connectionLost);
-        r.response().onSuccess(this::head).onFailure(this::connectionLost);
+        r.response().onSuccess(this::responseHead).onFailure(this::connectionLost);
         Buffer out = owner.body();
         boolean bodiless = out.length() == 0 && (r.getMethod() == HttpMethod.GET || r.getMethod() == HttpMethod.HEAD);
         (bodiless ? r.end() : r.end(out)).onSuccess(v -> {
-            written = true;
+            requestWritten = true;
             releaseIfComplete();
         });
     }
 
-    private void head(HttpClientResponse r) {
+    private void responseHead(HttpClientResponse r) {
         if (ended) {
             return;
         }
         response = r;
-        heard();
+        bytesReceived();
         AnswerHead head = forwarder.protocol().readAnswer(r.statusCode(), r.headers(), owner.requestId());
         r.exceptionHandler(this::connectionLost);
         owner.limitNamed(head.limit());
-        forwarder.limited().answered(target, head, sentAtMs);
+        forwarder.targetLimits().responseReceived(target, head, sentAtMs);
         if (head.foreign()) {
-            endBroken("answer to another call");
+            endWithFailure("response to a different request");
         } else if (head.notRun()) {
             forwarder.placement().shed(target, MonotonicClock.nowMs());
             if (finish(false)) {
                 owner.notRun(this, head, r);
             }
         } else if (!head.trusted() && head.success()) {
-            endBroken("answer without signature");
+            endWithFailure("response without signature");
         } else if (head.success() && owner.streamBegins(this, head, r)) {
             r.handler(this::streamBytes).endHandler(v -> streamEnded());
         } else {
@@ -180,11 +183,11 @@
     private void buffer(AnswerHead head, HttpClientResponse r) {
         body = Buffer.buffer();
         r.handler(b -> {
-            heard();
+            bytesReceived();
             firstByte();
             body.appendBuffer(b);
             if (body.length() > MAX_BUFFERED_BYTES) {
-                endBroken("answer too large");
+                endWithFailure("response body too large");
             }
         });
         r.endHandler(v -> {
@@ -198,7 +201,7 @@
 
     private void streamBytes(Buffer bytes) {
         if (!ended) {
-            heard();
+            bytesReceived();
             firstByte();
             owner.streamBytes(this, bytes);
         }
@@ -211,54 +214,54 @@
         }
     }
 
-    private void heard() {
-        heardAtMs = MonotonicClock.nowMs();
-        forwarder.placement().heard(target, heardAtMs);
+    private void bytesReceived() {
+        lastByteAtMs = MonotonicClock.nowMs();
+        forwarder.placement().heard(target, lastByteAtMs);
     }
 
     private void firstByte() {
         if (!firstByteSeen && !ended) {
             firstByteSeen = true;
-            forwarder.placement().firstByte(call, target, heardAtMs - sentAtMs, tokensToRead);
+            forwarder.placement().firstByte(call, target, lastByteAtMs - sentAtMs, ownPrefillTokens);
         }
     }
 
     private void connectionLost(Throwable e) {
         if (!ended) {
-            forwarder.crashing().broke(owner.fingerprint(), target);
+            forwarder.crashQuarantine().connectionBroke(owner.fingerprint(), target);
         }
-        endBroken(e.getMessage());
+        endWithFailure(e.getMessage());
     }
 
-    private void endBroken(String why) {
+    private void endWithFailure(String why) {
         if (!ended) {
             forwarder.placement().broken(target);
             if (finish(false)) {
-                owner.broke(this, why);
+                owner.connectionBroke(this, why);
             }
         }
     }
 
-    /** Tells the owner that nothing has come for too long; the target gets no new calls for a while. */
+    /** Reports the target as silent. It gets no new calls for a while. */
     void silent(long nowMs) {
         forwarder.placement().silent(target, nowMs);
         owner.silent(this, "silent for " + silentMs(nowMs) + " ms");
     }
 
-    /** Stops the target's work at once; nothing more is reported. */
+    /** Aborts the attempt immediately; nothing more is reported. */
     void cancel() {
         finish(false);
     }
 
-    /** Frees the target's place; closes the connection unless a whole answer has come. */
-    private boolean finish(boolean whole) {
+    /** Releases the target's slot; closes the connection unless the response is complete. */
+    private boolean finish(boolean complete) {
         if (ended) {
             return false;
         }
         ended = true;
         forwarder.attempts().remove(this);
         forwarder.placement().ended(call, target, firstByteSeen, MonotonicClock.nowMs());
-        if (whole) {
+        if (complete) {
             releaseIfComplete();
         } else if (connection != null) {
             connection.http().close();
@@ -268,19 +271,21 @@
     }
 
     /**
-     * Gives the connection back once the answer has ended and the call has been written. A target may
-     * answer before it has read the whole call; what it has not read would be taken for the next one.
+     * Returns the connection to the pool once the response has ended and the request has been written. A target may
+     * respond before it has read the whole request; on a reused connection it would take the unread rest for the next
+     * request.
      */
     private void releaseIfComplete() {
-        if (!ended || !written || connection == null || response == null) {
+        if (!ended || !requestWritten || connection == null || response == null) {
             return;
         }
         TargetConnection c = connection;
         connection = null;
-        String keep = response.getHeader("Connection");
-        boolean framed = response.getHeader("Content-Length") != null
+        String connectionHeader = response.getHeader("Connection");
+        boolean hasDefinedLength = response.getHeader("Content-Length") != null
                 || Optional.ofNullable(response.getHeader("Transfer-Encoding")).isPresent();
-        if (keep != null && keep.equalsIgnoreCase("close") || !framed && response.statusCode() != 204) {
+        if (connectionHeader != null && connectionHeader.equalsIgnoreCase("close")
+                || !hasDefinedLength && response.statusCode() != 204) {
             c.http().close();
         } else {
             forwarder.connections().release(c, response.getHeader("Keep-Alive"));
@@ -315,13 +320,13 @@
         return firstByteSeen;
     }
 
-    /** True while the target may be running the call. */
-    boolean underWay() {
+    /** True while the target may be executing the call. */
+    boolean isRunning() {
         return !ended && sentAtMs >= 0;
     }
 
-    /** Time since a byte last came, or since it was sent; 0 before that. */
+    /** Time since the last byte was received, or since the call was sent; 0 before that. */
     long silentMs(long nowMs) {
-        return sentAtMs < 0 ? 0 : nowMs - heardAtMs;
+        return sentAtMs < 0 ? 0 : nowMs - lastByteAtMs;
     }
 }
--- /dev/null
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/AttemptHistory.java
@@ -0,0 +1,59 @@
+package org.onyxhinge.router.forward;
+
+import java.util.HashSet;
+import java.util.Set;
+
+import org.onyxhinge.core.place.TargetState;
+import org.onyxhinge.wire.MonotonicClock;
+
+/** Outcome so far of one request's attempts, and whether it may be sent to another target. */
+final class AttemptHistory {
+
+    private final Set<String> excluded = new HashSet<>();
+    private int sendCount;
+    private boolean executed;
+    private FallbackResponse fallback;
+
+    /** Incarnations of targets that must not be tried again. */
+    Set<String> excluded() {
+        return excluded;
+    }
+
+    void exclude(TargetState target) {
+        excluded.add(target.incarnation());
+    }
+
+    void recordSend() {
+        sendCount++;
+    }
+
+    /** Number of times the request was sent. */
+    int sendCount() {
+        return sendCount;
+    }
+
+    void markExecuted() {
+        executed = true;
+    }
+
+    /** True once a target may have executed the request. */
+    boolean mayHaveExecuted() {
+        return executed;
+    }
+
+    void keepFallback(FallbackResponse response) {
+        fallback = response;
+    }
+
+    /** An error response that is forwarded if no other target returns a better one; null if there is none. */
+    FallbackResponse fallback() {
+        return fallback;
+    }
+
+    /** Whether the request may be sent once more; if so, consumes a retry from the service's budget. */
+    boolean tryRetry(CallPlan plan, Forwarder forwarder) {
+        return sendCount < plan.route().maxAttempts()
+                && plan.hasTimeForRetry()
+                && forwarder.retries().tryRepeat(plan.service(), forwarder.routers(), MonotonicClock.nowMs());
+    }
+}
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallHead.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallHead.java
@@ -3,15 +3,15 @@
 import java.util.Optional;
 
 /**
- * What a caller's request says beside its method, path and body.
+ * The fields of a caller's request other than method, path and body.
  *
- * @param requestId the caller's id of this try
- * @param apiKey the key it carries
- * @param deadlineMs how long the caller waits from now
- * @param lastEventId the last event of a broken stream that it has
- * @param promptTokens tokens of its prompt; 0 when it names none
- * @param maxOutputTokens most tokens it may generate; 0 when it names none
- * @param expectedOutputTokens how many its caller expects; 0 when it expects nothing
+ * @param requestId the caller's id of this attempt
+ * @param apiKey the API key, if any
+ * @param deadlineMs how long the caller will wait from now
+ * @param lastEventId id of the last event received when a broken stream is resumed
+ * @param promptTokens number of prompt tokens; 0 if not given
+ * @param maxOutputTokens maximum number of tokens to generate; 0 if not given
+ * @param expectedOutputTokens number of tokens that the caller expects; 0 if not given
  */
 public record CallHead(
         String requestId,
@@ -22,7 +22,7 @@
         long maxOutputTokens,
         long expectedOutputTokens) {
 
-    /** Prompt and output tokens together, or -1 when it names none. */
+    /** Sum of prompt and output tokens, or -1 if neither is given. */
     public long tokens() {
         return promptTokens == 0 && maxOutputTokens == 0 ? -1 : promptTokens + maxOutputTokens;
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallRecord.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallLogEntry.java
@@ -8,24 +8,27 @@
 import org.onyxhinge.core.quarantine.RequestFingerprint;
 import org.onyxhinge.core.route.WorkspaceAccess;
 
-/** What is logged and counted of one call when it ends: one line, by its id. */
-final class CallRecord {
+/** The log line and the metrics of one call, written when it ends. */
+final class CallLogEntry {
 
     private static final Logger LOG = Logger.getLogger("call");
     private static final int PERCENT = 100;
 
     String requestId = "";
-    /** What its caller asked for, whatever the id; {@link RequestFingerprint#NONE} before its body was read. */
+    /**
+     * Identifies what the caller asked for, independent of the request id; {@link RequestFingerprint#NONE} until the
+     * body has been read.
+     */
     RequestFingerprint fingerprint = RequestFingerprint.NONE;
 
     String target = "";
-    /** Calls at the target when it was last sent there, itself included, as far as was known. */
+    /** Known number of calls at the target when the call was last sent there, including this one. */
     int targetCalls;
 
-    /** How long ago the configuration it was checked by had been confirmed; -1 when it was not checked. */
-    long proofAgeMs = -1;
+    /** Age of the configuration's confirmation when the call was checked; -1 if it was not checked. */
+    long confirmationAgeMs = -1;
 
-    /** Requests a second that the target's answer named as its limit; -1 for none. */
+    /** Rate limit in requests per second that the target reported; -1 if none. */
     double limitPerSecond = -1;
 
     long sentAfterMs = -1;
@@ -34,18 +37,18 @@
     int sends;
     private final StringBuilder troubles = new StringBuilder();
 
-    /** Notes trouble with a target or a limit, for the line. */
-    void note(String where, String what) {
+    /** Adds a problem with a target or a limit to the log line. */
+    void addTrouble(String where, String what) {
         if (troubles.length() > 0) {
             troubles.append("; ");
         }
         troubles.append(where).append(": ").append(what);
     }
 
-    /** Notes why its workspace's quota did not allow it. */
-    void quota(WorkspaceQuotas.Exceeded exceeded) {
+    /** Adds the state of the workspace's quota that refused the call. */
+    void quotaExceeded(WorkspaceQuotas.Exceeded exceeded) {
         QuotaState state = exceeded.state();
-        note(
+        addTrouble(
                 "quota",
                 String.format(
                         Locale.ROOT,
@@ -57,9 +60,9 @@
                         Math.round(state.heardPart() * PERCENT)));
     }
 
-    /** Notes the wait that it was refused for. */
-    void queue(WaitEstimate estimate) {
-        note(
+    /** Adds the wait estimate that the call was refused for. */
+    void queueWait(WaitEstimate estimate) {
+        addTrouble(
                 "queue",
                 String.format(
                         Locale.ROOT,
@@ -73,14 +76,14 @@
     /**
      * Logs and counts the call.
      *
-     * @param plan what was settled for it; null when its head was not allowed
+     * @param plan the call's plan; null if its head was not accepted
      */
-    void finish(Forwarder forwarder, CallPlan plan, long tookMs, String outcome, String why) {
+    void write(Forwarder forwarder, CallPlan plan, long tookMs, String outcome, String why) {
         String routeName = plan == null ? "none" : plan.route().name();
-        forwarder.metrics().ended(routeName, outcome);
+        forwarder.metrics().callEnded(routeName, outcome);
         if (firstByteMs >= 0) {
             forwarder.metrics().firstByteMs(routeName, firstByteMs);
-            forwarder.metrics().wholeMs(routeName, tookMs);
+            forwarder.metrics().completionMs(routeName, tookMs);
         }
         LOG.infof(
                 "call id=%s fingerprint=%s outcome=%s why=\"%s\" route=%s workspace=%s rank=%d deadlineMs=%d"
@@ -108,7 +111,7 @@
                 longestGapMs,
                 tookMs,
                 plan == null ? -1 : plan.config().version(),
-                proofAgeMs,
+                confirmationAgeMs,
                 troubles);
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallPlan.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallPlan.java
@@ -16,15 +16,15 @@
 import org.onyxhinge.wire.MonotonicClock;
 
 /**
- * What is settled for a request once its head has been checked.
+ * Routing decision and deadlines of a request whose head has been accepted.
  *
- * @param head what its head says
- * @param config the version of the configuration it was checked by
+ * @param head the parsed request head
+ * @param config the configuration it was checked against
  * @param route its route
- * @param workspace its caller's workspace; empty on keyless routes
- * @param service the service it goes to
- * @param arrivedAtMs when it arrived
- * @param times when it is due
+ * @param workspace the caller's workspace; empty on keyless routes
+ * @param service the service it is sent to
+ * @param arrivedAtMs arrival time
+ * @param times its deadlines
  */
 record CallPlan(
         CallHead head,
@@ -35,13 +35,13 @@
         long arrivedAtMs,
         CallTimes times) {
 
-    /** Workspaces' ranks go before routes' ranks, which are below this. */
-    private static final int RANKS_OF_ROUTES = 1_000;
+    /** Number of ranks of routes. A workspace's rank takes precedence over a route's rank, which is below this. */
+    private static final int ROUTE_RANKS = 1_000;
 
     /**
-     * Settles a request that has been checked.
+     * Creates the plan of an accepted request.
      *
-     * @param waitedBeforeMs how long its caller has waited since it first asked
+     * @param waitedBeforeMs how long its caller has waited since its first attempt
      */
     static CallPlan of(CallCheck.Allowed check, long arrivedAtMs, long waitedBeforeMs) {
         Route route = check.route();
@@ -56,41 +56,42 @@
                 CallTimes.of(arrivedAtMs, waitedBeforeMs, route.targetLatencyMs(), deadlineMs));
     }
 
-    long leftMs() {
+    long remainingMs() {
         return times.endsAtMs() - MonotonicClock.nowMs();
     }
 
-    /** True while another target could still answer. */
-    boolean timeForAnother() {
-        return leftMs() >= CallTimes.LEAST_TIME_MS;
+    /** True while there is enough time for another target to respond. */
+    boolean hasTimeForRetry() {
+        return remainingMs() >= CallTimes.LEAST_TIME_MS;
     }
 
     /**
-     * The call for the placement.
+     * Creates the call that is submitted to the placement.
      *
-     * @param tried targets it must not go to again
-     * @param begun whether its caller has part of the answer, so that it may wait as long as there is time
-     * @param expectedEvents events its answer will probably have
+     * @param excluded targets that must not be used again
+     * @param responseBegun whether the caller has received part of the response, in which case the call may wait until
+     *     its deadline
+     * @param expectedEvents expected number of events in the response
      */
-    Call call(Set<String> tried, boolean begun, long expectedEvents) {
+    Call call(Set<String> excluded, boolean responseBegun, long expectedEvents) {
         boolean model = config.service(service).map(TargetService::modelEngine).orElse(false);
         return Call.of(service, arrivedAtMs)
                 .rank(rank(), times.returned())
-                .times(times.onTimeUntilMs(), begun ? times.endsAtMs() : times.holdUntilMs())
+                .times(times.onTimeUntilMs(), responseBegun ? times.endsAtMs() : times.holdUntilMs())
                 .endsAt(times.endsAtMs())
                 .gapTarget(route.gapTargetMs())
                 .work(model ? head.promptTokens() : 0, model ? expectedEvents : 0)
-                .avoid(tried)
+                .avoid(excluded)
                 .build();
     }
 
-    /** Its rank, 0 the most urgent: its workspace's first, then its route's. */
+    /** Combined rank, 0 being the most urgent: ordered by the workspace's rank, then by the route's. */
     int rank() {
         int own = workspace.map(w -> w.priority().orElse(0)).orElse(0);
-        return own * RANKS_OF_ROUTES + route.priority();
+        return own * ROUTE_RANKS + route.priority();
     }
 
-    /** What its caller asks for, whatever the id of this try. */
+    /** Identifies what the caller asks for, independent of the request id. */
     RequestFingerprint fingerprint(HttpServerRequest request, Buffer body) {
         String host = request.getHeader("Host");
         return RequestFingerprint.of(
@@ -101,8 +102,8 @@
                 body.getBytes());
     }
 
-    /** What is said of it to a target. */
+    /** The router's own fields of the request to a target. */
     OutgoingCall outgoing(String targetId, Optional<String> resumeAfter) {
-        return new OutgoingCall(targetId, leftMs(), workspace.map(WorkspaceAccess::name), resumeAfter);
+        return new OutgoingCall(targetId, remainingMs(), workspace.map(WorkspaceAccess::name), resumeAfter);
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallerConnections.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallerConnections.java
@@ -9,62 +9,62 @@
 import io.vertx.core.http.HttpConnection;
 import org.onyxhinge.wire.MonotonicClock;
 
-/** Callers' open connections, and since when each carries no request. */
+/** Open connections from callers, and since when each has been idle. */
 final class CallerConnections {
 
-    /** Beyond the callers' own limit, so that theirs is always reached first. */
+    /** Added to the callers' own idle timeout, so that a caller always closes an idle connection first. */
     private static final long IDLE_MARGIN_MS = 500;
 
-    private final Map<HttpConnection, Use> open = new HashMap<>();
+    private final Map<HttpConnection, ConnectionState> open = new HashMap<>();
 
-    private static final class Use {
+    private static final class ConnectionState {
         private int requests;
         private long idleSinceMs = MonotonicClock.nowMs();
     }
 
     void opened(HttpConnection c) {
-        open.put(c, new Use());
+        open.put(c, new ConnectionState());
         c.closeHandler(v -> open.remove(c));
         c.exceptionHandler(e -> c.close());
     }
 
-    /** Notes that a request begins on a connection. */
-    void used(HttpConnection c) {
-        Use use = open.get(c);
-        if (use != null) {
-            use.requests++;
+    /** Records that a request has started on a connection. */
+    void requestStarted(HttpConnection c) {
+        ConnectionState state = open.get(c);
+        if (state != null) {
+            state.requests++;
         }
     }
 
-    /** Notes that a request on a connection has its final answer. */
-    void freed(HttpConnection c) {
-        Use use = open.get(c);
-        if (use != null) {
-            use.requests--;
-            use.idleSinceMs = MonotonicClock.nowMs();
+    /** Records that a request on a connection has received its final response. */
+    void requestEnded(HttpConnection c) {
+        ConnectionState state = open.get(c);
+        if (state != null) {
+            state.requests--;
+            state.idleSinceMs = MonotonicClock.nowMs();
         }
     }
 
     void closeIdleLongerThan(long idleMs) {
         long nowMs = MonotonicClock.nowMs();
-        close(use -> use.requests == 0 && nowMs - use.idleSinceMs > idleMs + IDLE_MARGIN_MS);
+        close(state -> state.requests == 0 && nowMs - state.idleSinceMs > idleMs + IDLE_MARGIN_MS);
     }
 
     void closeIdle() {
-        close(use -> use.requests == 0);
+        close(state -> state.requests == 0);
     }
 
-    private void close(Predicate<Use> which) {
+    private void close(Predicate<ConnectionState> which) {
         List<HttpConnection> chosen = new ArrayList<>();
-        open.forEach((c, use) -> {
-            if (which.test(use)) {
+        open.forEach((c, state) -> {
+            if (which.test(state)) {
                 chosen.add(c);
             }
         });
         chosen.forEach(HttpConnection::close);
     }
 
-    int openNow() {
+    int openCount() {
         return open.size();
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallerSide.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallerResponse.java
@@ -11,46 +11,48 @@
 import io.vertx.core.http.HttpServerRequest;
 import io.vertx.core.http.HttpServerResponse;
 
-/** The caller's end of a call: writes exactly one answer, whole or recognisably broken off. */
-final class CallerSide {
+/** The response to a caller: writes exactly one, which is either complete or recognizably truncated. */
+final class CallerResponse {
 
     /**
-     * For refusals that concern this router alone: a caller who comes back meets another one, so the best time
-     * is at once; a little later lets a balancer that has just lost this one take notice.
+     * Retry delay for refusals that concern only this router. A retry reaches another router and so should come almost
+     * at once; the short delay lets a load balancer that has just lost this router notice.
      */
-    static final long ELSEWHERE_RETRY_MS = 40;
+    static final long OTHER_ROUTER_RETRY_MS = 40;
 
-    /** Digits of a second's fraction that stand for ms. */
-    private static final int DIGITS_OF_MS = 3;
-    /** Refused callers are spread over this part of the time they are told, so that they don't meet again. */
-    private static final double RETRY_SPREAD = 0.5;
+    /** Decimal places of a second that represent ms. */
+    private static final int MS_DECIMALS = 3;
+    /**
+     * The retry delay is increased by a random fraction up to this, so that refused callers do not retry in lockstep.
+     */
+    private static final double RETRY_JITTER = 0.5;
 
     private final HttpServerRequest request;
     private final HttpServerResponse response;
-    private final BooleanSupplier betterElsewhere;
+    private final BooleanSupplier preferOtherRouter;
     private StreamHead streamHead;
 
-    /** The head of a stream whose first event has not come. */
+    /** Head of a stream whose first event has not been received yet. */
     private record StreamHead(int status, HttpClientResponse from) {}
 
     /**
-     * The caller's end of a request.
+     * Creates the response to a request.
      *
-     * @param betterElsewhere whether its next request had better go to another router: a balancer sends new connections
-     *     there, but an open one stays
+     * @param preferOtherRouter whether the caller's next request should go to another router: a load balancer sends new
+     *     connections there, but an open connection stays
      */
-    CallerSide(HttpServerRequest request, BooleanSupplier betterElsewhere) {
+    CallerResponse(HttpServerRequest request, BooleanSupplier preferOtherRouter) {
         this.request = request;
         this.response = request.response();
-        this.betterElsewhere = betterElsewhere;
+        this.preferOtherRouter = preferOtherRouter;
     }
 
     boolean headSent() {
         return response.headWritten();
     }
 
-    /** Passes a whole answer on. */
-    void answer(int status, HttpClientResponse from, Buffer body) {
+    /** Forwards a complete response. */
+    void sendResponse(int status, HttpClientResponse from, Buffer body) {
         copyHead(status, from);
         if (request.method() == HttpMethod.HEAD || status == 204 || status == 304) {
             response.end();
@@ -60,8 +62,9 @@
     }
 
     /**
-     * Notes the head of a stream. It goes out with the first event: until then the target may break off, and
-     * what follows is another target's answer or a failure of ours, which must not bear this one's signature.
+     * Stores the head of a stream, which is sent with the first event. Until then the target may break off, and what
+     * follows is another target's response or an error of this router, which must not carry the first target's
+     * signature.
      */
     void beginStream(int status, HttpClientResponse from) {
         streamHead = new StreamHead(status, from);
@@ -80,10 +83,10 @@
             response.setStatusMessage(from.statusMessage());
         }
         HopHeaders.copy(from.headers(), response.headers(), Set.of());
-        closeWhenBetterElsewhere();
+        closeIfOtherRouterPreferred();
     }
 
-    /** Writes bytes of a stream; true when the caller does not keep up. */
+    /** Writes bytes of a stream; true if the caller is not reading fast enough. */
     boolean write(Buffer bytes) {
         sendStreamHead();
         response.write(bytes);
@@ -99,37 +102,37 @@
         response.end();
     }
 
-    /** Answers a call that has not run, with when to come back, in seconds (RFC 9110, section 10.2.3). */
+    /** Refuses a call that was not executed, with a {@code Retry-After} in seconds (RFC 9110, section 10.2.3). */
     void refuse(int status, String why, long retryAfterMs) {
         if (response.ended() || response.headWritten()) {
             return;
         }
         response.setStatusCode(status);
         if (retryAfterMs > 0) {
-            double spread = 1 + ThreadLocalRandom.current().nextDouble() * RETRY_SPREAD;
-            // Not by a format: the first one of a process loads the locales' number formats, which takes 35 ms.
-            BigDecimal seconds = BigDecimal.valueOf((long) (retryAfterMs * spread), DIGITS_OF_MS);
+            double jitter = 1 + ThreadLocalRandom.current().nextDouble() * RETRY_JITTER;
+            // Avoids String.format: its first use in a process loads the locale's number formats, which takes 35 ms.
+            BigDecimal seconds = BigDecimal.valueOf((long) (retryAfterMs * jitter), MS_DECIMALS);
             response.putHeader("Retry-After", seconds.toPlainString());
         }
-        closeWhenBetterElsewhere();
+        closeIfOtherRouterPreferred();
         response.end("not run: " + why + "\n");
     }
 
     void fail(int status, String message) {
         if (!response.ended() && !response.headWritten()) {
             response.setStatusCode(status);
-            closeWhenBetterElsewhere();
+            closeIfOtherRouterPreferred();
             response.end(message + "\n");
         }
     }
 
-    /** Breaks off an answer that has begun. */
-    void cutOff() {
+    /** Truncates a response that has begun, by closing the connection. */
+    void abortResponse() {
         request.connection().close();
     }
 
-    private void closeWhenBetterElsewhere() {
-        if (betterElsewhere.getAsBoolean()) {
+    private void closeIfOtherRouterPreferred() {
+        if (preferOtherRouter.getAsBoolean()) {
             response.putHeader("Connection", "close");
         }
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/ConnectErrors.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/ConnectErrors.java
@@ -4,12 +4,12 @@
 
 import io.netty.channel.ConnectTimeoutException;
 
-/** Why a connection could not be made. */
+/** Classifies connection failures. */
 final class ConnectErrors {
 
     private ConnectErrors() {}
 
-    /** True when the address answered that nothing listens there, so that no process runs behind it. */
+    /** True if the connection was refused, which means that no process listens at the address. */
     static boolean refused(Throwable e) {
         return e instanceof ConnectException && !(e instanceof ConnectTimeoutException);
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CrashingRequests.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CrashQuarantine.java
@@ -17,80 +17,85 @@
 import org.onyxhinge.wire.peer.PeerMessage;
 
 /**
- * Keeps requests that crash the targets that run them from further targets. What one router sees all are told at once;
- * what is quarantined is recorded as well, for routers that start later or are cut off from the others.
+ * Quarantines requests that crash the targets executing them. Every crash is broadcast to the other routers at once;
+ * quarantines are also recorded in the store, for routers that start later or are partitioned from the others.
  */
-final class CrashingRequests {
+final class CrashQuarantine {
 
-    private static final Logger LOG = Logger.getLogger(CrashingRequests.class);
+    private static final Logger LOG = Logger.getLogger(CrashQuarantine.class);
 
-    /** Within these tries a process that has ended is known by the refusal of one, or was heard if it has not. */
-    private static final int PROBES = 3;
+    /**
+     * Enough probes to see a terminated process refuse a connection, or to receive data from one that is still running.
+     */
+    private static final int MAX_PROBES = 3;
 
-    private static final long PROBE_AGAIN_MS = 150;
+    private static final long PROBE_INTERVAL_MS = 150;
 
     private final Quarantine quarantine = Quarantine.create();
-    private final BrokenCalls broken = BrokenCalls.create();
+    private final BrokenCalls brokenCalls = BrokenCalls.create();
     private final Vertx vertx;
     private final TargetConnections connections;
     private final ForwardingMetrics metrics;
-    private final Consumer<PeerMessage.BetweenRouters> tellAll;
+    private final Consumer<PeerMessage.BetweenRouters> broadcast;
     private final Consumer<RequestFingerprint> quarantined;
 
     /**
-     * Creates one that knows of no crash.
+     * Creates an instance that knows of no crash.
      *
-     * @param tellAll tells every other router
-     * @param quarantined called when a request is quarantined, so that no call of it goes on
+     * @param broadcast sends a message to every other router
+     * @param quarantined called when a request is quarantined, so that its calls in progress are ended
      */
-    CrashingRequests(
+    CrashQuarantine(
             Vertx vertx,
             TargetConnections connections,
             ForwardingMetrics metrics,
-            Consumer<PeerMessage.BetweenRouters> tellAll,
+            Consumer<PeerMessage.BetweenRouters> broadcast,
             Consumer<RequestFingerprint> quarantined) {
         this.vertx = vertx;
         this.connections = connections;
         this.metrics = metrics;
-        this.tellAll = tellAll;
+        this.broadcast = broadcast;
         this.quarantined = quarantined;
     }
 
-    /** Notes that a connection broke while a target ran a request, and finds out whether the target has ended. */
-    void broke(RequestFingerprint request, TargetState target) {
-        // One that leaves on purpose may end with calls in progress; that says nothing against them.
-        if (target.takesCalls() && broken.broke(request, target.incarnation(), MonotonicClock.nowMs())) {
-            probe(target, PROBES);
+    /**
+     * Handles a connection that broke while a target executed a request, and finds out whether the target has
+     * terminated.
+     */
+    void connectionBroke(RequestFingerprint request, TargetState target) {
+        // A draining target may terminate with calls in progress; that does not count against them.
+        if (target.takesCalls() && brokenCalls.broke(request, target.incarnation(), MonotonicClock.nowMs())) {
+            probe(target, MAX_PROBES);
         }
     }
 
     /**
-     * Tries a target's address. A connection that is made proves little: a process that ends may be connected to until
-     * the last of its sockets is closed, and another may soon listen there.
+     * Probes a target's address. A successful connection proves little: a terminating process accepts connections until
+     * its last socket is closed, and another process may listen at the address soon after.
      */
-    private void probe(TargetState target, int probesLeft) {
-        if (probesLeft > 0 && broken.mayHaveEnded(target.incarnation(), target.heardAtMs())) {
+    private void probe(TargetState target, int remainingProbes) {
+        if (remainingProbes > 0 && brokenCalls.mayHaveEnded(target.incarnation(), target.heardAtMs())) {
             connections
                     .probe(target.info())
-                    .onSuccess(v -> vertx.setTimer(PROBE_AGAIN_MS, t -> probe(target, probesLeft - 1)))
-                    .onFailure(e -> notReached(target, e));
+                    .onSuccess(v -> vertx.setTimer(PROBE_INTERVAL_MS, t -> probe(target, remainingProbes - 1)))
+                    .onFailure(e -> connectFailed(target, e));
         }
     }
 
-    /** Notes that no connection to a target could be made. */
-    void notReached(TargetState target, Throwable e) {
+    /** Handles a failure to connect to a target. */
+    void connectFailed(TargetState target, Throwable e) {
         if (ConnectErrors.refused(e)) {
-            ended(target);
+            targetEnded(target);
         }
     }
 
-    /** Notes that a start of a target is over. */
-    void ended(TargetState target) {
-        List<Crash> crashes = broken.ended(target.incarnation(), target.heardAtMs(), MonotonicClock.nowMs());
+    /** Handles the end of a target's incarnation. */
+    void targetEnded(TargetState target) {
+        List<Crash> crashes = brokenCalls.ended(target.incarnation(), target.heardAtMs(), MonotonicClock.nowMs());
         if (!crashes.isEmpty()) {
             LOG.infof("target ended incarnation=%s requests=%s", target.incarnation(), requests(crashes));
-            takeIn(crashes);
-            tellAll.accept(message(crashes));
+            recordCrashes(crashes);
+            broadcast.accept(message(crashes));
         }
     }
 
@@ -98,24 +103,24 @@
         return crashes.stream().map(c -> c.request().toString()).collect(Collectors.joining(","));
     }
 
-    private void takeIn(List<Crash> crashes) {
+    private void recordCrashes(List<Crash> crashes) {
         long nowMs = MonotonicClock.nowMs();
         for (Crash crash : crashes) {
             switch (quarantine.crashed(crash, nowMs)) {
-                case QUARANTINED -> quarantinedNow(crash.request(), nowMs);
-                case CLEARED -> tellAnswered(crash.request(), nowMs);
+                case QUARANTINED -> onQuarantined(crash.request(), nowMs);
+                case CLEARED -> broadcastAnswered(crash.request(), nowMs);
                 default -> metrics.event("crashes.heard");
             }
         }
     }
 
-    private void tellAnswered(RequestFingerprint request, long nowMs) {
+    private void broadcastAnswered(RequestFingerprint request, long nowMs) {
         quarantine
                 .answeredAgoMs(request, nowMs)
-                .ifPresent(agoMs -> tellAll.accept(new PeerMessage.AnsweredWhole(request, agoMs)));
+                .ifPresent(agoMs -> broadcast.accept(new PeerMessage.AnsweredWhole(request, agoMs)));
     }
 
-    private void quarantinedNow(RequestFingerprint request, long nowMs) {
+    private void onQuarantined(RequestFingerprint request, long nowMs) {
         metrics.event("requests.quarantined");
         LOG.warnf(
                 "request quarantined fingerprint=%s crashes=\"%s\" forMs=%d",
@@ -130,32 +135,32 @@
                 .collect(Collectors.joining("; "));
     }
 
-    /** Notes that a target answered a request whole. */
+    /** Records that a target returned a complete response to a request. */
     void answered(RequestFingerprint request) {
         long nowMs = MonotonicClock.nowMs();
         if (quarantine.answered(request, nowMs)) {
             LOG.infof("request cleared fingerprint=%s", request);
-            tellAnswered(request, nowMs);
+            broadcastAnswered(request, nowMs);
         }
     }
 
-    /** True while a request may be sent to no target. */
-    boolean holds(RequestFingerprint request) {
+    /** True while a request must not be sent to any target. */
+    boolean isQuarantined(RequestFingerprint request) {
         return quarantine.holds(request, MonotonicClock.nowMs());
     }
 
-    /** Whether a request may be sent once more by the router itself. */
+    /** Whether the router itself may send a request once more. */
     boolean mayBeRepeated(RequestFingerprint request) {
         return quarantine.mayBeRepeated(request, MonotonicClock.nowMs());
     }
 
-    /** Time until a quarantined request may run again. */
+    /** Time until a quarantined request may be executed again. */
     long endsInMs(RequestFingerprint request) {
         return quarantine.endsInMs(request, MonotonicClock.nowMs());
     }
 
-    /** Every crash that counts, for a router that may know of none. */
-    PeerMessage.Crashes news() {
+    /** All crashes that still count, for a router that may know of none. */
+    PeerMessage.Crashes activeCrashes() {
         return message(quarantine.crashes(MonotonicClock.nowMs()));
     }
 
@@ -168,38 +173,38 @@
         return new PeerMessage.Crashes(out);
     }
 
-    /** Takes in what another router tells. */
-    void heard(PeerMessage.Crashes message) {
+    /** Applies crashes reported by another router. */
+    void receive(PeerMessage.Crashes message) {
         long nowMs = MonotonicClock.nowMs();
-        takeIn(message.crashes().stream()
+        recordCrashes(message.crashes().stream()
                 .map(c -> new Crash(c.request(), c.incarnation(), nowMs - c.agoMs()))
                 .toList());
     }
 
-    /** Takes in that a target answered a request whole. */
-    void heard(PeerMessage.AnsweredWhole message) {
+    /** Applies another router's report that a target returned a complete response to a request. */
+    void receive(PeerMessage.AnsweredWhole message) {
         if (quarantine.answered(message.request(), MonotonicClock.nowMs() - message.agoMs())) {
             LOG.infof("request cleared by another router fingerprint=%s", message.request());
         }
     }
 
-    /** What is to be recorded: the crashes of the quarantined requests. */
-    QuarantineRecord toRecord() {
+    /** The record to be stored: the crashes of the quarantined requests. */
+    QuarantineRecord currentRecord() {
         return QuarantineRecord.of(quarantine.crashesOfQuarantined(MonotonicClock.nowMs()), MonotonicClock.nowMs());
     }
 
-    /** Takes in what is on record. */
-    void recorded(QuarantineRecord record) {
-        takeIn(record.crashes(MonotonicClock.nowMs()));
+    /** Applies the crashes of a stored record. */
+    void restore(QuarantineRecord record) {
+        recordCrashes(record.crashes(MonotonicClock.nowMs()));
     }
 
-    /** Lifts every quarantine: its record was removed. */
+    /** Lifts every quarantine, after its record was removed. */
     void lift() {
         LOG.infof("quarantine lifted requests=%d", byRequest().size());
         quarantine.lift();
     }
 
-    /** Quarantined requests and the targets they crashed, for the dump. */
+    /** Quarantined requests and the targets they crashed, for the state dump. */
     Map<String, Object> byRequest() {
         return quarantine.crashesOfQuarantined(MonotonicClock.nowMs()).stream()
                 .collect(Collectors.groupingBy(
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/EventSplitter.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/EventSplitter.java
@@ -6,25 +6,25 @@
 import io.vertx.core.buffer.Buffer;
 
 /**
- * Cuts a stream of server-sent events (WHATWG HTML, section 9.2) into whole events: a target may break
- * off in the middle of one, and only whole ones may reach a caller whose stream goes on elsewhere.
+ * Splits a stream of server-sent events (WHATWG HTML, section 9.2) at event boundaries. A target may break off within
+ * an event, and only complete events may reach a caller whose stream continues at another target.
  */
 final class EventSplitter {
 
-    /** An event above this is no event of ours; it is passed on as it is. */
-    private static final int LONGEST_EVENT_BYTES = 1 << 20;
+    /** Longer data without an event boundary cannot be an event of a target; it is passed through unchanged. */
+    private static final int MAX_EVENT_BYTES = 1 << 20;
 
     private static final byte LINE_FEED = '\n';
     private static final byte CARRIAGE_RETURN = '\r';
 
-    private Buffer rest = Buffer.buffer();
+    private Buffer partial = Buffer.buffer();
     private String lastId;
     private int events;
 
-    /** Takes bytes in; returns the whole events they complete, or empty. */
+    /** Adds bytes; returns the events they complete, or empty. */
     Optional<Buffer> feed(Buffer bytes) {
-        int scanFrom = Math.max(0, rest.length() - 3);
-        Buffer all = rest.length() == 0 ? bytes : rest.appendBuffer(bytes);
+        int scanFrom = Math.max(0, partial.length() - 3);
+        Buffer all = partial.length() == 0 ? bytes : partial.appendBuffer(bytes);
         int end = 0;
         int lineStart = lineStartBefore(all, scanFrom);
         int eventStart = 0;
@@ -33,16 +33,16 @@
                 continue;
             }
             if (isBlank(all, lineStart, i)) {
-                noteId(all, eventStart, i);
+                recordEvent(all, eventStart, i);
                 end = i + 1;
                 eventStart = end;
             }
             lineStart = i + 1;
         }
-        if (end == 0 && all.length() > LONGEST_EVENT_BYTES) {
+        if (end == 0 && all.length() > MAX_EVENT_BYTES) {
             end = all.length();
         }
-        rest = end == all.length() ? Buffer.buffer() : all.getBuffer(end, all.length());
+        partial = end == all.length() ? Buffer.buffer() : all.getBuffer(end, all.length());
         return end == 0 ? Optional.empty() : Optional.of(end == all.length() ? all : all.getBuffer(0, end));
     }
 
@@ -58,7 +58,7 @@
         return end == start || end == start + 1 && all.getByte(start) == CARRIAGE_RETURN;
     }
 
-    private void noteId(Buffer all, int from, int to) {
+    private void recordEvent(Buffer all, int from, int to) {
         events++;
         int lineStart = from;
         for (int i = from; i <= to; i++) {
@@ -75,18 +75,18 @@
         }
     }
 
-    /** The id of the last whole event. */
+    /** The id of the last complete event that has one. */
     Optional<String> lastId() {
         return Optional.ofNullable(lastId);
     }
 
-    /** Whole events so far. */
+    /** Number of complete events so far. */
     int events() {
         return events;
     }
 
-    /** Bytes of an event that has not ended. */
-    Buffer rest() {
-        return rest;
+    /** Bytes of the event that is not complete yet. */
+    Buffer partial() {
+        return partial;
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Exchange.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Exchange.java
@@ -17,22 +17,22 @@
 import org.onyxhinge.wire.MonotonicClock;
 
 /**
- * One request of a caller, from its head to its one final answer. It is checked, waits for a place, is sent
- * to a target, and is sent to another only where that cannot run it twice or its route allows it.
+ * One request of a caller, from its head to its single final response. It is checked, waits for a slot, and is sent to
+ * a target; it is sent to another target only if that cannot execute it twice or its route allows it.
  */
 final class Exchange implements Attempt.Owner {
 
     private final Forwarder forwarder;
     private final HttpServerRequest request;
-    private final CallerSide caller;
+    private final CallerResponse caller;
     private final long arrivedAtMs = MonotonicClock.nowMs();
-    private final Tries tries = new Tries();
-    private final CallRecord record = new CallRecord();
+    private final AttemptHistory history = new AttemptHistory();
+    private final CallLogEntry logEntry = new CallLogEntry();
     private CallPlan plan;
     private Buffer body = Buffer.buffer();
     private RequestFingerprint fingerprint = RequestFingerprint.NONE;
-    private boolean quotaTaken;
-    private boolean over;
+    private boolean quotaCharged;
+    private boolean finished;
     private Call waiting;
     private Attempt attempt;
     private long timerId = -1;
@@ -41,168 +41,171 @@
     private Exchange(Forwarder forwarder, HttpServerRequest request) {
         this.forwarder = forwarder;
         this.request = request;
-        this.caller = new CallerSide(request, () -> !forwarder.ready());
+        this.caller = new CallerResponse(request, () -> !forwarder.ready());
     }
 
-    /** Takes a request in. */
+    /** Starts an exchange for a new request. */
     static void begin(Forwarder forwarder, HttpServerRequest request) {
         Exchange x = new Exchange(forwarder, request);
         forwarder.exchanges().add(x);
-        request.response().exceptionHandler(e -> x.callerLeft());
-        request.response().closeHandler(v -> x.callerLeft());
+        request.response().exceptionHandler(e -> x.callerDisconnected());
+        request.response().closeHandler(v -> x.callerDisconnected());
         request.pause();
         x.check();
     }
 
-    /** Looks at the request's head, once there is a configuration to look at it by. */
+    /** Checks the request's head; holds the request if there is no configuration yet. */
     void check() {
-        if (over) {
+        if (finished) {
             return;
         }
-        if (forwarder.stop().leaving()) {
-            refuse("leaving", CallerSide.ELSEWHERE_RETRY_MS);
+        if (forwarder.shutdown().refusesCalls()) {
+            refuse("leaving", CallerResponse.OTHER_ROUTER_RETRY_MS);
             return;
         }
-        Optional<ConfirmedConfig> inForce = forwarder.inForce();
-        if (inForce.isEmpty()) {
-            forwarder.holdEarly(this);
+        Optional<ConfirmedConfig> config = forwarder.activeConfig();
+        if (config.isEmpty()) {
+            forwarder.holdUntilConfigured(this);
             return;
         }
-        record.proofAgeMs = forwarder.freshness().ageMs(inForce.get().confirmedAtMs());
-        CallCheck result = CallCheck.of(request, forwarder.protocol(), inForce.get(), forwarder.freshness());
-        record.requestId = result.head() == null ? "" : result.head().requestId();
+        logEntry.confirmationAgeMs = forwarder.freshness().ageMs(config.get().confirmedAtMs());
+        CallCheck result = CallCheck.of(request, forwarder.protocol(), config.get(), forwarder.freshness());
+        logEntry.requestId = result.head() == null ? "" : result.head().requestId();
         switch (result) {
-            case CallCheck.Allowed a -> allowed(a);
-            case CallCheck.Wrong w -> fail(w.status(), w.outcome(), w.message());
-            case CallCheck.NotHere n -> refuse(n.why(), CallerSide.ELSEWHERE_RETRY_MS);
+            case CallCheck.Allowed a -> onAllowed(a);
+            case CallCheck.Rejected r -> fail(r.status(), r.outcome(), r.message());
+            case CallCheck.Undetermined u -> refuse(u.why(), CallerResponse.OTHER_ROUTER_RETRY_MS);
         }
     }
 
-    private void allowed(CallCheck.Allowed check) {
+    private void onAllowed(CallCheck.Allowed check) {
         long waitedBeforeMs = forwarder
                 .deadlines()
                 .waitedBeforeMs(check.route().name(), check.head().deadlineMs(), MonotonicClock.nowMs());
         plan = CallPlan.of(check, arrivedAtMs, waitedBeforeMs);
-        timerId = forwarder.vertx().setTimer(Math.max(1, plan.leftMs()), t -> timeIsUp());
-        forwarder.intake().offer(this, plan);
+        timerId = forwarder.vertx().setTimer(Math.max(1, plan.remainingMs()), t -> deadlineExpired());
+        forwarder.startScheduler().offer(this, plan);
     }
 
-    /** The router has no processor time for it. */
-    void refuseStarved(long waitMs) {
-        if (!over) {
-            refuse("starved", Math.max(CallerSide.ELSEWHERE_RETRY_MS, waitMs));
+    /** Refuses the request because the router lacks processor time for it. */
+    void refuseOverloaded(long waitMs) {
+        if (!finished) {
+            refuse("starved", Math.max(CallerResponse.OTHER_ROUTER_RETRY_MS, waitMs));
         }
     }
 
-    /** Begins the work on a request that may go on. */
+    /** Starts processing an accepted request. */
     void begin() {
-        if (!over) {
+        if (!finished) {
             readBody();
         }
     }
 
-    /** The first configuration has not come in time. */
-    void refuseEarly() {
-        refuse("no_config", CallerSide.ELSEWHERE_RETRY_MS);
+    /** Refuses the request because the first configuration did not arrive in time. */
+    void refuseWithoutConfig() {
+        refuse("no_config", CallerResponse.OTHER_ROUTER_RETRY_MS);
     }
 
     private void readBody() {
-        int most = plan.config().limits().maxBodyBytes();
-        CallBody.read(
+        int maxBytes = plan.config().limits().maxBodyBytes();
+        RequestBodyReader.read(
                 request,
-                most,
-                whole -> {
-                    body = whole;
-                    if (!over) {
-                        fingerprint = plan.fingerprint(request, whole);
-                        record.fingerprint = fingerprint;
+                maxBytes,
+                received -> {
+                    body = received;
+                    if (!finished) {
+                        fingerprint = plan.fingerprint(request, received);
+                        logEntry.fingerprint = fingerprint;
                         admit();
                     }
                 },
-                () -> fail(413, "body_too_large", "body above " + most + " bytes"));
+                () -> fail(413, "body_too_large", "body above " + maxBytes + " bytes"));
     }
 
     private void admit() {
-        if (forwarder.crashing().holds(fingerprint)) {
-            keptFromTargets();
+        if (forwarder.crashQuarantine().isQuarantined(fingerprint)) {
+            refuseQuarantined();
             return;
         }
         long nowMs = MonotonicClock.nowMs();
         Optional<WorkspaceQuotas.Exceeded> exceeded = forwarder.quotas().take(plan, nowMs);
         if (exceeded.isPresent()) {
-            record.quota(exceeded.get());
-            answerRefused(429, "quota", exceeded.get().waitMs());
+            logEntry.quotaExceeded(exceeded.get());
+            sendRefusal(429, "quota", exceeded.get().waitMs());
             return;
         }
-        quotaTaken = true;
+        quotaCharged = true;
         forwarder.retries().requested(plan.service(), nowMs);
         stream.resumeAfter(plan.head().lastEventId());
-        place();
+        submit();
     }
 
-    private void place() {
-        if (forwarder.crashing().holds(fingerprint)) {
-            keptFromTargets();
+    private void submit() {
+        if (forwarder.crashQuarantine().isQuarantined(fingerprint)) {
+            refuseQuarantined();
             return;
         }
-        verdict(forwarder.placement().submit(call(tries.avoid()), MonotonicClock.nowMs()));
+        onVerdict(forwarder.placement().submit(call(history.excluded()), MonotonicClock.nowMs()));
     }
 
-    private Call call(Set<String> avoid) {
+    private Call call(Set<String> excluded) {
         long events = forwarder
                 .lengths()
                 .expectedEvents(plan.route().name(), plan.head().expectedOutputTokens());
-        return plan.call(avoid, caller.headSent(), events);
+        return plan.call(excluded, caller.headSent(), events);
     }
 
-    /** Carries out what the placement decided for this request's call. */
-    void verdict(Verdict verdict) {
+    /** Carries out the placement's decision about this request's call. */
+    void onVerdict(Verdict verdict) {
         switch (verdict) {
             case Verdict.Wait w -> {
                 waiting = w.call();
-                forwarder.waits(w.call(), this);
+                forwarder.enqueue(w.call(), this);
             }
             case Verdict.Send s -> {
                 waiting = null;
-                forwarder.waitsNoLonger(s.call());
-                record.sentAfterMs = MonotonicClock.nowMs() - arrivedAtMs;
-                record.targetCalls = s.target().calls();
+                forwarder.dequeue(s.call());
+                logEntry.sentAfterMs = MonotonicClock.nowMs() - arrivedAtMs;
+                logEntry.targetCalls = s.target().calls();
                 attempt = Attempt.start(forwarder, this, s.call(), s.target());
-                attempt.run(forwarder.mostConnections(plan.config(), plan.service()));
+                attempt.run(forwarder.connectionLimit(plan.config(), plan.service()));
             }
             case Verdict.Refuse r -> {
                 waiting = null;
-                forwarder.waitsNoLonger(r.call());
-                r.estimate().ifPresent(record::queue);
-                noPlace(r.reason().name().toLowerCase(java.util.Locale.ROOT), r.retryAfterMs());
+                forwarder.dequeue(r.call());
+                r.estimate().ifPresent(logEntry::queueWait);
+                endWithoutTarget(r.reason().name().toLowerCase(java.util.Locale.ROOT), r.retryAfterMs());
             }
         }
     }
 
-    private void keptFromTargets() {
-        noPlace("quarantined", forwarder.crashing().endsInMs(fingerprint));
+    private void refuseQuarantined() {
+        endWithoutTarget("quarantined", forwarder.crashQuarantine().endsInMs(fingerprint));
     }
 
-    /** Its request is quarantined from now on. A target that has begun to answer it may still end. */
+    /**
+     * Ends the request because it has just been quarantined. If its response has begun, the target may still complete
+     * it.
+     */
     void quarantined() {
-        if (over || caller.headSent()) {
+        if (finished || caller.headSent()) {
             return;
         }
-        if (attempt != null && attempt.underWay()) {
-            tries.ran();
+        if (attempt != null && attempt.isRunning()) {
+            history.markExecuted();
         }
-        stopWork();
-        keptFromTargets();
+        cancelWork();
+        refuseQuarantined();
     }
 
-    /** No further target takes the call: ends it as honestly as what has happened before allows. */
-    private void noPlace(String why, long retryAfterMs) {
+    /** Ends a call for which no target is available. The response states whether the call may have been executed. */
+    private void endWithoutTarget(String why, long retryAfterMs) {
         if (caller.headSent()) {
-            cutOff(why);
-        } else if (tries.kept() != null) {
-            KeptAnswer kept = tries.kept();
-            passOn(kept.head(), kept.response(), kept.body());
-        } else if (tries.mayHaveRun()) {
+            abortResponse(why);
+        } else if (history.fallback() != null) {
+            FallbackResponse fallback = history.fallback();
+            forwardResponse(fallback.head(), fallback.response(), fallback.body());
+        } else if (history.mayHaveExecuted()) {
             fail(502, why, "the target broke off and no other takes the call");
         } else {
             refuse(why, retryAfterMs);
@@ -211,12 +214,12 @@
 
     @Override
     public boolean prepare(RequestOptions options, TargetState target) {
-        if (over || plan.leftMs() <= 0 || forwarder.crashing().holds(fingerprint)) {
+        if (finished || plan.remainingMs() <= 0 || forwarder.crashQuarantine().isQuarantined(fingerprint)) {
             return false;
         }
-        tries.sent();
-        record.sends = tries.sends();
-        record.target = target.info().id();
+        history.recordSend();
+        logEntry.sends = history.sendCount();
+        logEntry.target = target.info().id();
         plan.outgoing(target.info().id(), stream.resumeAfter()).write(request, forwarder.protocol(), options);
         return true;
     }
@@ -244,88 +247,88 @@
     @Override
     public void limitNamed(NamedLimit limit) {
         switch (limit) {
-            case NamedLimit.None n -> record.limitPerSecond = -1;
-            case NamedLimit.PerSecond p -> record.limitPerSecond = p.perSecond();
-            case NamedLimit.Unreadable u -> record.note("limit", "unreadable " + u.text());
+            case NamedLimit.None n -> logEntry.limitPerSecond = -1;
+            case NamedLimit.PerSecond p -> logEntry.limitPerSecond = p.perSecond();
+            case NamedLimit.Unreadable u -> logEntry.addTrouble("limit", "unreadable " + u.text());
         }
     }
 
     @Override
-    public void unsent(Attempt a, String why) {
+    public void notSent(Attempt a, String why) {
         forwarder.metrics().event("sends.unsent");
-        record.note(a.target().info().id(), why);
-        if (over) {
+        logEntry.addTrouble(a.target().info().id(), why);
+        if (finished) {
             return;
         }
-        tries.avoid(a.target());
-        if (plan.timeForAnother()) {
-            place();
+        history.exclude(a.target());
+        if (plan.hasTimeForRetry()) {
+            submit();
         } else {
-            noPlace("no_time", 0);
+            endWithoutTarget("no_time", 0);
         }
     }
 
     @Override
-    public void notRun(Attempt a, AnswerHead answer, HttpClientResponse response) {
-        record.note(a.target().info().id(), "not run, status " + answer.status());
+    public void notRun(Attempt a, AnswerHead head, HttpClientResponse response) {
+        logEntry.addTrouble(a.target().info().id(), "not run, status " + head.status());
         forwarder.metrics().event("sends.shed");
-        if (!over) {
-            tries.avoid(a.target());
-            if (tries.mayRepeat(plan, forwarder)) {
-                place();
+        if (!finished) {
+            history.exclude(a.target());
+            if (history.tryRetry(plan, forwarder)) {
+                submit();
             } else {
-                noPlace("target_full", Forwarder.SHED_RETRY_MS);
+                endWithoutTarget("target_full", Forwarder.SHED_RETRY_MS);
             }
         }
     }
 
     @Override
-    public void answered(Attempt a, AnswerHead answer, HttpClientResponse response, Buffer whole) {
-        if (over) {
+    public void answered(Attempt a, AnswerHead head, HttpClientResponse response, Buffer responseBody) {
+        if (finished) {
             return;
         }
-        tries.ran();
-        forwarder.crashing().answered(fingerprint);
-        boolean worthAnotherTry = answer.status() >= 500 && plan.route().kind() == CallKind.IDEMPOTENT;
-        if (worthAnotherTry && tries.kept() == null) {
-            tries.avoid(a.target());
-            if (tries.mayRepeat(plan, forwarder)) {
-                tries.keep(new KeptAnswer(answer, response, whole));
-                place();
+        history.markExecuted();
+        forwarder.crashQuarantine().answered(fingerprint);
+        boolean retriable = head.status() >= 500 && plan.route().kind() == CallKind.IDEMPOTENT;
+        if (retriable && history.fallback() == null) {
+            history.exclude(a.target());
+            if (history.tryRetry(plan, forwarder)) {
+                history.keepFallback(new FallbackResponse(head, response, responseBody));
+                submit();
                 return;
             }
         }
-        passOn(answer, response, whole);
+        forwardResponse(head, response, responseBody);
     }
 
-    private void passOn(AnswerHead answer, HttpClientResponse response, Buffer whole) {
-        record.firstByteMs = MonotonicClock.nowMs() - arrivedAtMs;
-        caller.answer(answer.status(), response, whole);
-        end(answer.success() ? "answered" : "target_error", "status " + answer.status());
+    private void forwardResponse(AnswerHead head, HttpClientResponse response, Buffer responseBody) {
+        logEntry.firstByteMs = MonotonicClock.nowMs() - arrivedAtMs;
+        caller.sendResponse(head.status(), response, responseBody);
+        end(head.success() ? "answered" : "target_error", "status " + head.status());
     }
 
     @Override
-    public boolean streamBegins(Attempt a, AnswerHead answer, HttpClientResponse response) {
-        if (plan.route().kind() != CallKind.STREAM || over) {
+    public boolean streamBegins(Attempt a, AnswerHead head, HttpClientResponse response) {
+        if (plan.route().kind() != CallKind.STREAM || finished) {
             return false;
         }
-        stream.begins();
+        stream.streamStarted();
         if (!caller.headSent()) {
-            caller.beginStream(answer.status(), response);
+            caller.beginStream(head.status(), response);
         }
         return true;
     }
 
     @Override
     public void streamBytes(Attempt a, Buffer bytes) {
-        Optional<Buffer> whole = stream.feed(bytes, a.target());
-        if (whole.isEmpty()) {
+        Optional<Buffer> events = stream.feed(bytes, a.target());
+        if (events.isEmpty()) {
             return;
         }
-        if (record.firstByteMs < 0) {
-            record.firstByteMs = MonotonicClock.nowMs() - arrivedAtMs;
+        if (logEntry.firstByteMs < 0) {
+            logEntry.firstByteMs = MonotonicClock.nowMs() - arrivedAtMs;
         }
-        if (caller.write(whole.get())) {
+        if (caller.write(events.get())) {
             a.pause();
             caller.onDrain(a::resume);
         }
@@ -333,15 +336,15 @@
 
     @Override
     public void streamEnded(Attempt a) {
-        if (over) {
+        if (finished) {
             return;
         }
-        tries.ran();
-        if (stream.insideAnEvent()) {
-            broke(a, "stream ended inside an event");
+        history.markExecuted();
+        if (stream.hasPartialEvent()) {
+            connectionBroke(a, "stream ended inside an event");
             return;
         }
-        forwarder.crashing().answered(fingerprint);
+        forwarder.crashQuarantine().answered(fingerprint);
         forwarder
                 .lengths()
                 .ended(plan.route().name(), stream.events(), plan.head().expectedOutputTokens());
@@ -350,77 +353,78 @@
     }
 
     @Override
-    public void broke(Attempt a, String why) {
-        notAnsweredBy(a, why);
-        if (over) {
+    public void connectionBroke(Attempt a, String why) {
+        recordBrokenAttempt(a, why);
+        if (finished) {
             return;
         }
-        boolean mayGoOn = plan.route().repeatable() && forwarder.crashing().mayBeRepeated(fingerprint);
-        if (mayGoOn && tries.mayRepeat(plan, forwarder)) {
-            place();
+        boolean retryAllowed =
+                plan.route().repeatable() && forwarder.crashQuarantine().mayBeRepeated(fingerprint);
+        if (retryAllowed && history.tryRetry(plan, forwarder)) {
+            submit();
         } else {
-            noPlace("target_broke", 0);
+            endWithoutTarget("target_broke", 0);
         }
     }
 
-    /** Goes on at another target if one takes it now; if none does, the silent one may still answer. */
+    /** Moves the call to another target if one accepts it now; otherwise the silent target may still respond. */
     @Override
     public void silent(Attempt a, String why) {
-        Set<String> tried = new HashSet<>(tries.avoid());
-        tried.add(a.target().incarnation());
-        boolean goesOn = !over
-                && forwarder.placement().takesNow(call(tried), MonotonicClock.nowMs())
-                && tries.mayRepeat(plan, forwarder);
-        if (goesOn) {
+        Set<String> excluded = new HashSet<>(history.excluded());
+        excluded.add(a.target().incarnation());
+        boolean canMove = !finished
+                && forwarder.placement().takesNow(call(excluded), MonotonicClock.nowMs())
+                && history.tryRetry(plan, forwarder);
+        if (canMove) {
             a.cancel();
-            notAnsweredBy(a, why);
-            place();
+            recordBrokenAttempt(a, why);
+            submit();
         }
     }
 
-    private void notAnsweredBy(Attempt a, String why) {
-        tries.ran();
-        tries.avoid(a.target());
-        record.note(a.target().info().id(), why);
+    private void recordBrokenAttempt(Attempt a, String why) {
+        history.markExecuted();
+        history.exclude(a.target());
+        logEntry.addTrouble(a.target().info().id(), why);
         forwarder.metrics().event("sends.broken");
     }
 
-    private void timeIsUp() {
-        giveUp(504, "timeout", "no whole answer within the time there was", 0);
+    private void deadlineExpired() {
+        abort(504, "timeout", "no whole answer within the time there was", 0);
     }
 
-    /** The process ends before the call does: it is told so, and its line says what cut it. */
-    void cutByStop() {
-        giveUp(502, "stop", "the router was stopped before the answer was whole", CallerSide.ELSEWHERE_RETRY_MS);
+    /** Ends a call that is still in progress when the process exits, and logs that as the reason. */
+    void abortByShutdown() {
+        abort(502, "stop", "the router was stopped before the answer was whole", CallerResponse.OTHER_ROUTER_RETRY_MS);
     }
 
-    /** Ends a call for which no time is left, as honestly as what has happened before allows. */
-    private void giveUp(int status, String why, String message, long retryAfterMs) {
-        if (over) {
+    /** Ends a call that has no time left. The response states whether the call may have been executed. */
+    private void abort(int status, String why, String message, long retryAfterMs) {
+        if (finished) {
             return;
         }
-        stopWork();
+        cancelWork();
         if (caller.headSent()) {
-            cutOff(why);
-        } else if (tries.sends() > 0) {
+            abortResponse(why);
+        } else if (history.sendCount() > 0) {
             fail(status, why, message);
         } else {
             refuse(why, retryAfterMs);
         }
     }
 
-    /** The caller has gone: whatever works for it stops at once. */
-    private void callerLeft() {
-        if (!over) {
-            stopWork();
+    /** Stops all work for a caller that has disconnected. */
+    private void callerDisconnected() {
+        if (!finished) {
+            cancelWork();
             end("caller_left", "");
         }
     }
 
-    private void stopWork() {
+    private void cancelWork() {
         if (waiting != null) {
             forwarder.placement().withdraw(waiting);
-            forwarder.waitsNoLonger(waiting);
+            forwarder.dequeue(waiting);
             waiting = null;
         }
         if (attempt != null) {
@@ -428,12 +432,12 @@
         }
     }
 
-    /** Refuses a call that has not run. */
+    /** Refuses a call that was not executed. */
     private void refuse(String why, long retryAfterMs) {
-        answerRefused(503, why, retryAfterMs);
+        sendRefusal(503, why, retryAfterMs);
     }
 
-    private void answerRefused(int status, String why, long retryAfterMs) {
+    private void sendRefusal(int status, String why, long retryAfterMs) {
         forwarder.metrics().event("refused." + why);
         forwarder.deadlines().refused(MonotonicClock.nowMs());
         caller.refuse(status, why, retryAfterMs);
@@ -441,35 +445,35 @@
     }
 
     private void fail(int status, String outcome, String message) {
-        if (!over) {
+        if (!finished) {
             caller.fail(status, message);
             end("failed", outcome);
         }
     }
 
-    /** Ends an answer that cannot be completed, so that it does not look whole. */
-    private void cutOff(String why) {
-        caller.cutOff();
+    /** Truncates a response that cannot be completed, so that it does not look complete. */
+    private void abortResponse(String why) {
+        caller.abortResponse();
         end("cut_off", why);
     }
 
     private void end(String outcome, String why) {
-        if (over) {
+        if (finished) {
             return;
         }
-        over = true;
+        finished = true;
         if (!request.isEnded()) {
-            // What is left of a body nobody wants is read and dropped, so that the connection can be used on.
+            // Discard the rest of the body, so that the connection can be reused.
             request.handler(b -> {}).resume();
         }
         if (timerId >= 0) {
             forwarder.vertx().cancelTimer(timerId);
         }
-        if (tries.sends() == 0 && quotaTaken) {
+        if (history.sendCount() == 0 && quotaCharged) {
             forwarder.quotas().giveBack(plan, MonotonicClock.nowMs());
         }
-        forwarder.ended(this, request.connection());
-        record.longestGapMs = stream.longestGapMs();
-        record.finish(forwarder, plan, MonotonicClock.nowMs() - arrivedAtMs, outcome, why);
+        forwarder.exchangeEnded(this, request.connection());
+        logEntry.longestGapMs = stream.longestGapMs();
+        logEntry.write(forwarder, plan, MonotonicClock.nowMs() - arrivedAtMs, outcome, why);
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/FleetRecords.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/FleetRecords.java
@@ -10,28 +10,31 @@
 import org.onyxhinge.wire.MonotonicClock;
 
 /**
- * What routers keep in the key-value service beside their registrations, for routers that all start again at once: what
- * workspaces have used, and which requests are quarantined. The public methods may be called from any thread.
+ * Records that routers share through the key-value service for recovery when all of them restart at once: the
+ * workspaces' usage and the quarantined requests. The public methods may be called from any thread.
  */
 public final class FleetRecords {
 
     private static final Logger LOG = Logger.getLogger(FleetRecords.class);
 
-    /** Within this the router whose id comes first has recorded a quarantine, if it reaches the service. */
-    private static final long FIRST_WRITES_WITHIN_MS = 1_500;
+    /**
+     * Time within which the primary writer, the live router with the lowest id, records a quarantine if it reaches the
+     * store. After that any router may write it.
+     */
+    private static final long PRIMARY_WRITE_TIMEOUT_MS = 1_500;
 
     private final Context context;
     private final WorkspaceQuotas quotas;
-    private final CrashingRequests crashing;
+    private final CrashQuarantine crashQuarantine;
     private final RouterPeers peers;
-    private QuarantineRecord recorded = new QuarantineRecord(List.of());
-    private long recordedVersion;
-    private long missingSinceMs = -1;
+    private QuarantineRecord storedQuarantine = new QuarantineRecord(List.of());
+    private long storedVersion;
+    private long outdatedSinceMs = -1;
 
-    FleetRecords(Context context, WorkspaceQuotas quotas, CrashingRequests crashing, RouterPeers peers) {
+    FleetRecords(Context context, WorkspaceQuotas quotas, CrashQuarantine crashQuarantine, RouterPeers peers) {
         this.context = context;
         this.quotas = quotas;
-        this.crashing = crashing;
+        this.crashQuarantine = crashQuarantine;
         this.peers = peers;
     }
 
@@ -39,70 +42,73 @@
      * A record to be written.
      *
      * @param bytes the record
-     * @param replaces version of the record that it takes the place of; 0 for none
+     * @param replaces version of the record that it replaces; 0 if there is none
      */
     public record Change(byte[] bytes, long replaces) {}
 
     /**
-     * What workspaces have used, for the record; empty where another router is to write it, or nothing was counted. A
-     * record is written by the router whose id comes first among those that hear each other.
+     * The usage record to be written; empty if another router is the primary writer or nothing has been counted. The
+     * primary writer is the live router with the lowest id.
      */
-    public Future<Optional<byte[]>> usageToRecord() {
+    public Future<Optional<byte[]>> nextUsageRecord() {
         Promise<Optional<byte[]>> out = Promise.promise();
         context.runOnContext(v -> out.complete(Optional.of(quotas.usedInWindow(MonotonicClock.nowMs()))
-                .filter(units -> !units.isEmpty() && peers.comesFirst())
+                .filter(units -> !units.isEmpty() && peers.hasLowestLiveId())
                 .map(units -> new UsageRecord(System.currentTimeMillis(), units).encode())));
         return out.future();
     }
 
-    /** Takes the record of workspaces' use in, as it was read from the store. */
+    /** Applies the usage record as read from the store. */
     public void usageRecorded(byte[] bytes) {
         context.runOnContext(v -> {
-            if (quotas.wantsRecord()) {
+            if (quotas.needsRecord()) {
                 UsageRecord.decode(bytes)
-                        .peek(quotas::recorded)
+                        .peek(quotas::restore)
                         .peekLeft(e -> LOG.errorf("usage record unreadable error=%s", e));
             }
         });
     }
 
-    /** The record of quarantined requests, where what is kept lacks a crash and this router is to write it. */
-    public Future<Optional<Change>> quarantineToRecord() {
+    /**
+     * The quarantine record to be written; empty unless the stored one lacks a crash and this router is the one to
+     * write it.
+     */
+    public Future<Optional<Change>> nextQuarantineRecord() {
         Promise<Optional<Change>> out = Promise.promise();
         context.runOnContext(v -> out.complete(quarantineChange(MonotonicClock.nowMs())));
         return out.future();
     }
 
     private Optional<Change> quarantineChange(long nowMs) {
-        QuarantineRecord now = crashing.toRecord();
-        if (recorded.covers(now)) {
-            missingSinceMs = -1;
+        QuarantineRecord current = crashQuarantine.currentRecord();
+        if (storedQuarantine.covers(current)) {
+            outdatedSinceMs = -1;
             return Optional.empty();
         }
-        missingSinceMs = missingSinceMs < 0 ? nowMs : missingSinceMs;
-        boolean ours = peers.comesFirst() || nowMs - missingSinceMs > FIRST_WRITES_WITHIN_MS;
-        return ours ? Optional.of(new Change(now.encode(), recordedVersion)) : Optional.empty();
+        outdatedSinceMs = outdatedSinceMs < 0 ? nowMs : outdatedSinceMs;
+        boolean writer = peers.hasLowestLiveId() || nowMs - outdatedSinceMs > PRIMARY_WRITE_TIMEOUT_MS;
+        return writer ? Optional.of(new Change(current.encode(), storedVersion)) : Optional.empty();
     }
 
-    /** Takes the record of quarantined requests in, as it was read from the store. */
+    /** Applies the quarantine record as read from the store. */
     public void quarantineRecorded(byte[] bytes, long version) {
         context.runOnContext(v -> {
-            recordedVersion = version;
+            storedVersion = version;
             QuarantineRecord.decode(bytes)
                     .peek(r -> {
-                        recorded = r;
-                        crashing.recorded(r);
+                        storedQuarantine = r;
+                        crashQuarantine.restore(r);
                     })
                     .peekLeft(e -> LOG.errorf("quarantine record unreadable error=%s", e));
         });
     }
 
-    /** Lifts every quarantine: an operator has removed the record. */
+    /** Lifts every quarantine, because an operator has removed the record. */
     public void quarantineRemoved() {
         context.runOnContext(v -> {
-            recordedVersion = 0;
-            recorded = new QuarantineRecord(List.of());
-            crashing.lift();
+            storedVersion = 0;
+            storedQuarantine = new QuarantineRecord(List.of());
+            crashQuarantine.lift();
         });
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Forwarder.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Forwarder.java
@@ -33,19 +33,21 @@
 import org.onyxhinge.wire.peer.PeerMessage;
 
 /**
- * A forwarding router: callers' HTTP on one side, targets on the other, and between them the placement,
- * the quotas and the retry budget. All of it lives on one event loop; the public methods may be called
- * from any thread.
+ * A forwarding router: connects callers' HTTP requests with targets through placement, quotas and the retry budget. All
+ * state belongs to one event loop; the public methods may be called from any thread.
  */
 public final class Forwarder {
 
     private static final Logger LOG = Logger.getLogger(Forwarder.class);
-    private static final long SWEEP_MS = 100;
+    private static final long SWEEP_INTERVAL_MS = 100;
     private static final int MAX_HEADER_BYTES = 65_536;
     private static final int ACCEPT_BACKLOG = 1_024;
-    /** A starting router has its configuration within this, or its store is away. */
-    private static final long EARLY_HOLD_MS = 600;
-    /** What a target that turned a call away is given to work off its queue. */
+    /**
+     * How long calls wait for the first configuration. A starting router receives it within this time unless the store
+     * is unavailable.
+     */
+    private static final long CONFIG_WAIT_MS = 600;
+    /** Retry delay after a target rejected a call; gives it time to work off its queue. */
     static final long SHED_RETRY_MS = 500;
 
     private final Vertx vertx;
@@ -56,20 +58,20 @@
     private final WorkspaceQuotas quotas;
     private final RetryBudget retries;
     private final Freshness freshness;
-    private final ConfigInForce config;
+    private final ActiveConfig config;
     private final AnswerLengths lengths = new AnswerLengths();
     private final CallerDeadlines deadlines = CallerDeadlines.create();
     private final TargetConnections connections;
     private final Set<Attempt> attempts = new HashSet<>();
     private final Set<Exchange> exchanges = new HashSet<>();
-    private final Set<Exchange> early = new LinkedHashSet<>();
-    private final CrashingRequests crashing;
-    private final LimitedTargets limited;
-    private final PeersSide peersSide;
-    private final PlannedStop stop;
+    private final Set<Exchange> awaitingConfig = new LinkedHashSet<>();
+    private final CrashQuarantine crashQuarantine;
+    private final TargetRateLimits targetLimits;
+    private final PeerDelegate peerDelegate;
+    private final GracefulShutdown shutdown;
     private final CallerConnections callers = new CallerConnections();
     private Context context;
-    private Intake intake;
+    private StartScheduler startScheduler;
     private WaitingExchanges waiting;
     private RouterPeers peers;
     private FleetRecords records;
@@ -82,20 +84,21 @@
         this.settings = settings;
         this.protocol = protocol;
         this.freshness = freshness;
-        this.config = new ConfigInForce(freshness);
+        this.config = new ActiveConfig(freshness);
         this.metrics = ForwardingMetrics.create(m);
         this.placement = Placement.create(
                 settings.routerId(), settings.dataCentre(), PlacementSettings.defaults(), this::slotReserved);
         this.retries = RetryBudget.create(settings.retryRatio(), settings.retryAllowance(), settings.retryWindowMs());
-        this.stop = new PlannedStop(settings.graceMs());
+        this.shutdown = new GracefulShutdown(settings.graceMs());
         this.connections = TargetConnections.create(vertx);
         this.quotas = new WorkspaceQuotas(settings, MonotonicClock.nowMs());
-        this.crashing = new CrashingRequests(vertx, connections, metrics, this::tellAll, this::quarantined);
-        this.limited = new LimitedTargets(placement, metrics, this::tellAll);
-        this.peersSide = new PeersSide(placement, quotas, crashing, limited, metrics, this::usageHeard);
+        this.crashQuarantine = new CrashQuarantine(vertx, connections, metrics, this::broadcast, this::quarantined);
+        this.targetLimits = new TargetRateLimits(placement, metrics, this::broadcast);
+        this.peerDelegate =
+                new PeerDelegate(placement, quotas, crashQuarantine, targetLimits, metrics, this::peerUsageChanged);
     }
 
-    /** Starts listening for callers and other routers; it refuses calls until it has a configuration. */
+    /** Starts listening for callers and other routers; calls are refused until a configuration arrives. */
     public static Future<Forwarder> start(
             Vertx vertx,
             ForwardingSettings settings,
@@ -105,9 +108,9 @@
         Forwarder f = new Forwarder(vertx, settings, protocol, freshness, registry);
         Promise<Forwarder> started = Promise.promise();
         f.context = vertx.getOrCreateContext();
-        f.intake = new Intake(vertx, f.context, f.metrics);
+        f.startScheduler = new StartScheduler(vertx, f.context, f.metrics);
         f.waiting = new WaitingExchanges(vertx, f.context, f.placement);
-        f.targets = new TargetRegistry(f.context, f.placement, f.crashing, f::pumpSoon);
+        f.targets = new TargetRegistry(f.context, f.placement, f.crashQuarantine, f::pumpSoon);
         f.context.runOnContext(v -> f.listen().onComplete(started));
         return started.future();
     }
@@ -119,7 +122,8 @@
                 .setAcceptBacklog(ACCEPT_BACKLOG)
                 .setTcpNoDelay(true)
                 .setCompressionSupported(false)
-                // HTTP/1.1 alone is spoken here; each handler more is code that a fresh process first interprets.
+                // Only HTTP/1.1 is served. Every additional handler is code that a fresh process first runs
+                // interpreted.
                 .setHttp2ClearTextEnabled(false)
                 .setPerFrameWebSocketCompressionSupported(false)
                 .setPerMessageWebSocketCompressionSupported(false);
@@ -128,14 +132,14 @@
                 .exceptionHandler(e -> LOG.debugf("caller connection error=%s", e.getMessage()))
                 .invalidRequestHandler(this::malformed)
                 .requestHandler(this::request);
-        return RouterPeers.start(vertx, settings, peersSide)
+        return RouterPeers.start(vertx, settings, peerDelegate)
                 .compose(p -> {
                     peers = p;
-                    records = new FleetRecords(context, quotas, crashing, p);
+                    records = new FleetRecords(context, quotas, crashQuarantine, p);
                     return server.listen(settings.port(), settings.host());
                 })
                 .map(s -> {
-                    vertx.setPeriodic(SWEEP_MS, t -> sweep());
+                    vertx.setPeriodic(SWEEP_INTERVAL_MS, t -> sweep());
                     return this;
                 });
     }
@@ -146,125 +150,122 @@
     }
 
     private void request(HttpServerRequest request) {
-        callers.used(request.connection());
+        callers.requestStarted(request.connection());
         Exchange.begin(this, request);
     }
 
-    /** Notes that a caller's request has its final answer. */
-    void ended(Exchange exchange, HttpConnection connection) {
+    /** Removes an exchange whose caller has received its final response. */
+    void exchangeEnded(Exchange exchange, HttpConnection connection) {
         exchanges.remove(exchange);
-        early.remove(exchange);
-        callers.freed(connection);
+        awaitingConfig.remove(exchange);
+        callers.requestEnded(connection);
     }
 
     /**
-     * Puts a newer configuration in force. Calls are checked by it at once, also those that wait to be read; calls that
-     * came before the first one are looked at now.
+     * Activates a newer configuration. It applies at once to new calls and to those whose head has not been read; calls
+     * held for the first configuration are checked now.
      */
     public void configure(ForwardingConfig newer) {
         config.replace(newer);
         context.runOnContext(v -> {
-            peersSide.configured(newer);
-            List<Exchange> held = List.copyOf(early);
-            early.clear();
+            peerDelegate.configChanged(newer);
+            List<Exchange> held = List.copyOf(awaitingConfig);
+            awaitingConfig.clear();
             held.forEach(Exchange::check);
         });
     }
 
     /**
-     * Notes that the store has confirmed that the configuration in force is the newest.
+     * Records that the store has confirmed the active configuration as the newest.
      *
-     * @param askedAtMs when the read that confirmed it was sent, as {@link Freshness#stampMs} tells the time
+     * @param askedAtMs when the confirming read was sent, by the suspend-aware clock
      */
     public void confirmed(long askedAtMs) {
         config.confirmed(askedAtMs);
     }
 
-    /** Holds a call that came before the first configuration, for a moment. */
-    void holdEarly(Exchange exchange) {
-        early.add(exchange);
-        vertx.setTimer(EARLY_HOLD_MS, t -> {
-            if (early.remove(exchange)) {
-                exchange.refuseEarly();
+    /** Holds a call that arrived before the first configuration, for a limited time. */
+    void holdUntilConfigured(Exchange exchange) {
+        awaitingConfig.add(exchange);
+        vertx.setTimer(CONFIG_WAIT_MS, t -> {
+            if (awaitingConfig.remove(exchange)) {
+                exchange.refuseWithoutConfig();
             }
         });
     }
 
-    /** The targets, as they are registered. */
+    /** The registered targets. */
     public TargetRegistry targets() {
         return targets;
     }
 
-    /**
-     * Takes a router in that is registered at {@code address}, HOST:PORT, in a data centre ("" where that is
-     * unknown).
-     */
+    /** Adds a registered router. Its {@code address} is HOST:PORT, its data centre "" if unknown. */
     public void routerSeen(String routerId, String address, String dataCentre) {
         context.runOnContext(v -> peers.registered(routerId, address, dataCentre));
     }
 
-    /** Notes that a router is no longer registered. */
+    /** Removes a router that is no longer registered. */
     public void routerGone(String routerId) {
         context.runOnContext(v -> peers.unregistered(routerId));
     }
 
-    /** What is kept in the key-value service for routers that start. */
+    /** The records shared with other routers through the key-value service. */
     public FleetRecords records() {
         return records;
     }
 
-    /** True when callers' calls can be served. */
+    /** True if callers' calls can be served. */
     public boolean ready() {
-        return config.keysBelieved() && !stop.underWay();
+        return config.keysTrusted() && !shutdown.started();
     }
 
-    PlannedStop stop() {
-        return stop;
+    GracefulShutdown shutdown() {
+        return shutdown;
     }
 
-    /** Begins a planned stop; completes when the process may end. */
+    /** Starts a graceful shutdown; completes when the process may exit. */
     public Future<Void> drain() {
         Promise<Void> done = Promise.promise();
-        stop.ordered();
-        context.runOnContext(
-                v -> stop.begin(vertx, callers, exchanges::size, this::cutRest).onComplete(done));
+        shutdown.requested();
+        context.runOnContext(v -> shutdown.run(vertx, callers, exchanges::size, this::abortRemaining)
+                .onComplete(done));
         return done.future();
     }
 
-    private void cutRest() {
-        List.copyOf(exchanges).forEach(Exchange::cutByStop);
+    private void abortRemaining() {
+        List.copyOf(exchanges).forEach(Exchange::abortByShutdown);
     }
 
-    /** State for the dump. */
+    /** The current state, for the state dump. */
     public Future<JsonObject> dump() {
         Promise<JsonObject> out = Promise.promise();
         context.runOnContext(v -> out.complete(new JsonObject()
                 .put("router", settings.routerId())
                 .put("configVersion", config.version())
-                .put("proofAgeMs", config.proofAgeMs())
-                .put("draining", stop.underWay())
+                .put("proofAgeMs", config.confirmationAgeMs())
+                .put("draining", shutdown.started())
                 .put("exchanges", exchanges.size())
                 .put("attempts", attempts.size())
-                .put("notBegun", intake.waiting())
+                .put("notBegun", startScheduler.queuedCount())
                 .put("waiting", new JsonObject(new HashMap<>(placement.waitingByService())))
                 .put("targets", placement.targets().size())
-                .put("targetConnections", connections.openNow())
+                .put("targetConnections", connections.openCount())
                 .put("targetConnectionsOpened", connections.opened())
                 .put("usageRecordAgeMs", quotas.recordAgeMs())
-                .put("quarantined", new JsonObject(crashing.byRequest()))
+                .put("quarantined", new JsonObject(crashQuarantine.byRequest()))
                 .put("targetLimits", placement.limits().size())
-                .put("routersKnown", peers.known())
+                .put("routersKnown", peers.expectedRouters())
                 .put("routersHeardPart", peers.heardPart())));
         return out.future();
     }
 
-    private void usageHeard() {
+    private void peerUsageChanged() {
         quotas.heardPart(peers.heardPart());
         pumpSoon();
     }
 
-    private void tellAll(PeerMessage.BetweenRouters message) {
-        peers.tellAll(message);
+    private void broadcast(PeerMessage.BetweenRouters message) {
+        peers.broadcast(message);
     }
 
     private void quarantined(RequestFingerprint request) {
@@ -275,54 +276,59 @@
 
     private void slotReserved(String routerId, String targetId) {
         metrics.event("slots.reserved_for_peers");
-        peers.slotReserved(routerId, targetId);
+        peers.sendSlotReserved(routerId, targetId);
     }
 
-    /** Takes a call in that waits for room. */
-    void waits(Call call, Exchange exchange) {
+    /** Adds a call that waits for a slot. */
+    void enqueue(Call call, Exchange exchange) {
         waiting.add(call, exchange);
-        peers.callsWait();
+        peers.callQueued();
     }
 
-    /** Looks for room for waiting calls once the current event has been handled. */
+    /** Looks for free slots for waiting calls once the current event has been handled. */
     void pumpSoon() {
         waiting.pumpSoon();
     }
 
     private void sweep() {
         long nowMs = MonotonicClock.nowMs();
-        config.logKeysBelieved();
-        List<Attempt> silent = new ArrayList<>();
+        config.logKeyTrust();
+        List<Attempt> lost = new ArrayList<>();
         for (Attempt a : attempts) {
-            if (Silence.tooLong(a, nowMs)) {
-                silent.add(a);
+            if (SilenceDetector.isTargetLost(a, nowMs)) {
+                lost.add(a);
             }
         }
-        silent.forEach(a -> a.silent(nowMs));
+        lost.forEach(a -> a.silent(nowMs));
         targets.sweep(nowMs);
         connections.sweep(
                 id -> placement.target(id).map(TargetState::takesCalls).orElse(false));
         quotas.heardPart(peers.heardPart());
-        inForce().ifPresent(c -> callers.closeIdleLongerThan(c.config().limits().idleTimeoutMs()));
+        activeConfig()
+                .ifPresent(c -> callers.closeIdleLongerThan(c.config().limits().idleTimeoutMs()));
     }
 
-    /** Most connections this router may have to one target of a service: its part of the target's cap. */
-    int mostConnections(ForwardingConfig inForce, String service) {
-        int cap = inForce.service(service).map(TargetService::maxConnections).orElse(1);
+    /** Maximum number of connections from this router to one target of a service: its share of the target's limit. */
+    int connectionLimit(ForwardingConfig activeConfig, String service) {
+        int cap =
+                activeConfig.service(service).map(TargetService::maxConnections).orElse(1);
         return Math.max(1, cap / routers());
     }
 
     int routers() {
-        return peers.known();
+        return peers.expectedRouters();
     }
 
-    /** What calls are checked by; empty until what peers said before the first configuration has been counted. */
-    Optional<ConfirmedConfig> inForce() {
-        return config.current().filter(c -> peersSide.hasConfig());
+    /**
+     * The configuration that calls are checked against; empty until usage received from peers before the first
+     * configuration has been counted.
+     */
+    Optional<ConfirmedConfig> activeConfig() {
+        return config.current().filter(c -> peerDelegate.hasConfig());
     }
 
-    Intake intake() {
-        return intake;
+    StartScheduler startScheduler() {
+        return startScheduler;
     }
 
     Vertx vertx() {
@@ -349,12 +355,12 @@
         return retries;
     }
 
-    CrashingRequests crashing() {
-        return crashing;
+    CrashQuarantine crashQuarantine() {
+        return crashQuarantine;
     }
 
-    LimitedTargets limited() {
-        return limited;
+    TargetRateLimits targetLimits() {
+        return targetLimits;
     }
 
     Freshness freshness() {
@@ -381,8 +387,8 @@
         return exchanges;
     }
 
-    /** Forgets a call that waits no longer. */
-    void waitsNoLonger(Call call) {
+    /** Removes a call that no longer waits. */
+    void dequeue(Call call) {
         waiting.remove(call);
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/ForwardingMetrics.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/ForwardingMetrics.java
@@ -11,7 +11,7 @@
 
     private final MetricRegistry registry;
     private final Map<String, Latency> firstByte = new HashMap<>();
-    private final Map<String, Latency> whole = new HashMap<>();
+    private final Map<String, Latency> completion = new HashMap<>();
 
     private ForwardingMetrics(MetricRegistry registry) {
         this.registry = registry;
@@ -21,7 +21,7 @@
         return new ForwardingMetrics(registry);
     }
 
-    void ended(String route, String outcome) {
+    void callEnded(String route, String outcome) {
         registry.counter("calls." + route + "." + outcome).inc();
     }
 
@@ -33,8 +33,8 @@
         latency(firstByte, "first_byte." + route).recordUs(ms * 1_000);
     }
 
-    void wholeMs(String route, long ms) {
-        latency(whole, "whole." + route).recordUs(ms * 1_000);
+    void completionMs(String route, long ms) {
+        latency(completion, "whole." + route).recordUs(ms * 1_000);
     }
 
     private Latency latency(Map<String, Latency> by, String name) {
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Freshness.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Freshness.java
@@ -3,45 +3,43 @@
 import org.onyxhinge.wire.SuspendAwareClock;
 
 /**
- * For how long API keys are believed after the store has confirmed that the configuration that holds them is the
- * newest, counted from when the read that confirmed it was sent. A router that is cut off stops believing keys before
- * that is longer ago than operators allow for a key taken away. Thread-safe.
+ * Decides how long API keys are trusted after the store last confirmed their configuration as the newest, counted from
+ * when the confirming read was sent. A router cut off from the store stops trusting keys before the time that operators
+ * allow for revoking a key has passed. Thread-safe.
  */
 public final class Freshness {
 
-    /** Stands for the time of a confirmation that was never given. */
-    static final long NEVER_MS = Long.MIN_VALUE;
+    /** Placeholder for the time of a confirmation that never happened. */
+    static final long NEVER_CONFIRMED_MS = Long.MIN_VALUE;
 
-    /**
-     * Watches may trail behind the store by about a second, and the target starts its work a little after
-     * this check.
-     */
-    private static final long MARGIN_MS = 1_500;
+    /** Watches may lag behind the store by about a second, and the target starts its work a little after this check. */
+    private static final long PROPAGATION_MARGIN_MS = 1_500;
 
     private final SuspendAwareClock clock = SuspendAwareClock.create();
-    private final long limitMs;
+    private final long maxAgeMs;
 
-    private Freshness(long limitMs) {
-        this.limitMs = limitMs;
+    private Freshness(long maxAgeMs) {
+        this.maxAgeMs = maxAgeMs;
     }
 
-    /** Creates one for operators who allow {@code limitMs} for a key taken away; 0 for no limit. */
-    public static Freshness within(long limitMs) {
-        return new Freshness(limitMs);
+    /** Creates an instance for the time that operators allow for revoking a key; 0 for no limit. */
+    public static Freshness within(long maxAgeMs) {
+        return new Freshness(maxAgeMs);
     }
 
-    /** The time, for a read sent now. */
+    /** Timestamp for a read that is sent now. */
     public long stampMs() {
         return clock.nowMs();
     }
 
-    /** True while the API keys of a configuration may be believed that was confirmed at {@code confirmedAtMs}. */
-    boolean holds(long confirmedAtMs) {
-        return limitMs == 0 || confirmedAtMs != NEVER_MS && ageMs(confirmedAtMs) < limitMs - MARGIN_MS;
+    /** True while the API keys of a configuration that was confirmed at {@code confirmedAtMs} may be trusted. */
+    boolean isFresh(long confirmedAtMs) {
+        return maxAgeMs == 0
+                || confirmedAtMs != NEVER_CONFIRMED_MS && ageMs(confirmedAtMs) < maxAgeMs - PROPAGATION_MARGIN_MS;
     }
 
-    /** Time since a confirmation; -1 before the first. */
+    /** Time since a confirmation; -1 if there was none. */
     long ageMs(long confirmedAtMs) {
-        return confirmedAtMs == NEVER_MS ? -1 : clock.nowMs() - confirmedAtMs;
+        return confirmedAtMs == NEVER_CONFIRMED_MS ? -1 : clock.nowMs() - confirmedAtMs;
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/HopHeaders.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/HopHeaders.java
@@ -7,7 +7,7 @@
 
 import io.vertx.core.MultiMap;
 
-/** Headers that concern one connection only and are never forwarded (RFC 9110, section 7.6.1). */
+/** Hop-by-hop headers, which are never forwarded (RFC 9110, section 7.6.1). */
 public final class HopHeaders {
 
     private static final Set<String> NAMES = Set.of(
@@ -25,7 +25,7 @@
 
     private HopHeaders() {}
 
-    /** Copies the headers that are end to end, leaving out {@code dropped} (lower case) as well. */
+    /** Copies the end-to-end headers, except those in {@code dropped} (lower case). */
     public static void copy(MultiMap from, MultiMap to, Set<String> dropped) {
         Set<String> listed = listedInConnection(from);
         for (Map.Entry<String, String> e : from) {
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/OutgoingCall.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/OutgoingCall.java
@@ -7,17 +7,17 @@
 import io.vertx.core.http.RequestOptions;
 
 /**
- * What the router says of a call to the target it sends it to.
+ * The router's own fields of a request to a target.
  *
- * @param targetId the target that is meant; another one at its address must not run it
+ * @param targetId the intended target; a different one at the same address must not execute the call
  * @param deadlineLeftMs how long the caller will still wait
  * @param workspace the caller's workspace; empty on keyless routes
- * @param lastEventId the last event the caller has; the answer goes on after it
+ * @param lastEventId the last event that the caller received; the response continues after it
  */
 public record OutgoingCall(
         String targetId, long deadlineLeftMs, Optional<String> workspace, Optional<String> lastEventId) {
 
-    /** Fills in what is sent to the target: the caller's request, unchanged but for what is set here. */
+    /** Fills in the request to the target: the caller's request, with only these fields changed. */
     void write(HttpServerRequest request, CallProtocol protocol, RequestOptions options) {
         MultiMap headers = MultiMap.caseInsensitiveMultiMap();
         options.setMethod(request.method()).setURI(request.uri()).setHeaders(headers);
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeersSide.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeerDelegate.java
@@ -13,52 +13,52 @@
 import org.onyxhinge.wire.MonotonicClock;
 import org.onyxhinge.wire.peer.PeerMessage;
 
-/** What other routers are told of a forwarder, and what is made of what they say. */
-final class PeersSide implements RouterPeers.Side {
+/** Provides a forwarder's state to other routers and applies the messages received from them. */
+final class PeerDelegate implements RouterPeers.Delegate {
 
     private final Placement placement;
     private final WorkspaceQuotas quotas;
-    private final CrashingRequests crashing;
-    private final LimitedTargets limited;
+    private final CrashQuarantine crashQuarantine;
+    private final TargetRateLimits targetLimits;
     private final ForwardingMetrics metrics;
-    private final Runnable changed;
-    private final List<PeerMessage.Usage> early = new ArrayList<>();
+    private final Runnable onChange;
+    private final List<PeerMessage.Usage> pendingUsage = new ArrayList<>();
     private ForwardingConfig config;
 
     /**
-     * Creates the side of one forwarder.
+     * Creates the delegate of one forwarder.
      *
-     * @param changed called when something was heard, so that waiting calls are looked at
+     * @param onChange called after a message was applied, so that waiting calls are reconsidered
      */
-    PeersSide(
+    PeerDelegate(
             Placement placement,
             WorkspaceQuotas quotas,
-            CrashingRequests crashing,
-            LimitedTargets limited,
+            CrashQuarantine crashQuarantine,
+            TargetRateLimits targetLimits,
             ForwardingMetrics metrics,
-            Runnable changed) {
+            Runnable onChange) {
         this.placement = placement;
         this.quotas = quotas;
-        this.crashing = crashing;
-        this.limited = limited;
+        this.crashQuarantine = crashQuarantine;
+        this.targetLimits = targetLimits;
         this.metrics = metrics;
-        this.changed = changed;
+        this.onChange = onChange;
     }
 
-    /** Notes the configuration in force; what was heard before the first one is counted now. */
-    void configured(ForwardingConfig newer) {
+    /** Sets the active configuration; usage received before the first one is counted now. */
+    void configChanged(ForwardingConfig newer) {
         config = newer;
-        early.forEach(this::count);
-        early.clear();
+        pendingUsage.forEach(this::recordUsage);
+        pendingUsage.clear();
     }
 
-    /** True once it has a configuration. */
+    /** True once a configuration has been set. */
     boolean hasConfig() {
         return config != null;
     }
 
-    private void count(PeerMessage.Usage usage) {
-        quotas.heard(usage, config::workspace, MonotonicClock.nowMs());
+    private void recordUsage(PeerMessage.Usage usage) {
+        quotas.recordPeerUsage(usage, config::workspace, MonotonicClock.nowMs());
     }
 
     @Override
@@ -92,56 +92,57 @@
     }
 
     @Override
-    public void usageHeard(String routerId, PeerMessage.Usage usage) {
+    public void onUsage(String routerId, PeerMessage.Usage usage) {
         placement.peerUses(routerId, usage.uses());
         placement.peerWaiting(routerId, usage.waiting());
         placement.peerRates(routerId, usage.rates());
         if (config == null) {
-            // Its workspaces are not known yet; a whole message is not sent again.
-            early.add(usage);
+            // The usage names workspaces that are not known yet; it must be kept, since a full message is not sent
+            // again.
+            pendingUsage.add(usage);
         } else {
-            count(usage);
+            recordUsage(usage);
         }
-        changed.run();
+        onChange.run();
     }
 
     @Override
-    public void routerSilent(String routerId) {
+    public void onRouterSilent(String routerId) {
         placement.peerGone(routerId);
-        changed.run();
+        onChange.run();
     }
 
     @Override
-    public void routerJoined(String routerId, String dataCentre) {
+    public void onRouterJoined(String routerId, String dataCentre) {
         placement.routerSeen(routerId, dataCentre);
     }
 
     @Override
-    public void routerLeft(String routerId) {
+    public void onRouterLeft(String routerId) {
         placement.routerGone(routerId);
     }
 
     @Override
-    public void slotReserved(String incarnation) {
+    public void onSlotReserved(String incarnation) {
         metrics.event("slots.reserved_here");
         placement.slotReserved(incarnation, MonotonicClock.nowMs());
-        changed.run();
+        onChange.run();
     }
 
     @Override
-    public void slotsWanted(PeerMessage.SlotsWanted wanted) {
+    public void onSlotsWanted(PeerMessage.SlotsWanted wanted) {
         placement.slotsWanted(wanted.routerId(), wanted.service(), wanted.waiting(), MonotonicClock.nowMs());
-        changed.run();
+        onChange.run();
     }
 
     @Override
-    public List<PeerMessage.BetweenRouters> knownToAll() {
+    public List<PeerMessage.BetweenRouters> broadcastState() {
         List<PeerMessage.BetweenRouters> out = new ArrayList<>();
-        PeerMessage.Crashes crashes = crashing.news();
+        PeerMessage.Crashes crashes = crashQuarantine.activeCrashes();
         if (!crashes.crashes().isEmpty()) {
             out.add(crashes);
         }
-        PeerMessage.TargetLimits limits = limited.news();
+        PeerMessage.TargetLimits limits = targetLimits.activeLimits();
         if (!limits.limits().isEmpty()) {
             out.add(limits);
         }
@@ -149,18 +150,18 @@
     }
 
     @Override
-    public void crashesHeard(PeerMessage.Crashes crashes) {
-        crashing.heard(crashes);
+    public void onCrashes(PeerMessage.Crashes crashes) {
+        crashQuarantine.receive(crashes);
     }
 
     @Override
-    public void limitsHeard(PeerMessage.TargetLimits limits) {
-        limited.heard(limits);
-        changed.run();
+    public void onTargetLimits(PeerMessage.TargetLimits limits) {
+        targetLimits.receive(limits);
+        onChange.run();
     }
 
     @Override
-    public void answeredWhole(PeerMessage.AnsweredWhole answered) {
-        crashing.heard(answered);
+    public void onAnswered(PeerMessage.AnsweredWhole answered) {
+        crashQuarantine.receive(answered);
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeerLink.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeerLink.java
@@ -18,46 +18,51 @@
 import org.onyxhinge.wire.peer.PeerMessage;
 import org.onyxhinge.wire.peer.PeerTraffic;
 
-/** Our connection to one other router: makes it, makes it anew when it has gone silent, and sends what has changed. */
+/**
+ * This router's connection to one other router: connects, reconnects when the peer is silent, and sends state changes.
+ */
 final class PeerLink implements AutoCloseable {
 
     private static final Logger LOG = Logger.getLogger(PeerLink.class);
 
-    /** A router that is starting refuses connections for a few hundred ms; quotas are in full use once it is heard. */
-    private static final long DIAL_AGAIN_MS = 120;
+    /**
+     * A starting router refuses connections for a few hundred ms, and quotas are fully usable only once it is
+     * heard from.
+     */
+    private static final long REDIAL_DELAY_MS = 120;
 
-    /** For so long after its VM refused a connection, a router's process is known not to run. */
-    private static final long REFUSED_MS = 1_500;
+    /** A router whose VM refused a connection is known not to be running for this long. */
+    private static final long DOWN_AFTER_REFUSAL_MS = 1_500;
 
     private final String routerId;
     private final HostPort address;
-    private final Runnable refused;
+    private final Runnable onRefused;
     private PeerConnection connection;
     private long connectedAtMs;
-    private boolean dialling;
-    private long dialAfterMs;
-    private long refusedAtMs = -REFUSED_MS;
-    private boolean whole = true;
-    private long sentAtMs;
-    private State sent = new State(PeerNews.none(), Map.of());
+    private boolean dialing;
+    private long nextDialAtMs;
+    private long refusedAtMs = -DOWN_AFTER_REFUSAL_MS;
+    private boolean sendFullState = true;
+    private long lastSentAtMs;
+    private State lastSent = new State(PeerNews.none(), Map.of());
 
     /**
-     * What the router was told, or is to be told.
+     * State that was sent, or is to be sent.
      *
      * @param news this router's calls
-     * @param totals units each workspace has used here since the start
+     * @param totals units that each workspace has used here since the start
      */
     record State(PeerNews news, Map<String, Long> totals) {}
 
     /**
-     * A link that is not made yet.
+     * Creates a link that is not connected yet.
      *
-     * @param refused called when the router's VM refuses a connection, and so its process does not run
+     * @param onRefused called when the peer's VM refuses a connection, which means that its process is not running
      */
-    PeerLink(String routerId, HostPort address, Runnable refused) {
+    PeerLink(String routerId, HostPort address, Runnable onRefused) {
         this.routerId = routerId;
         this.address = address;
-        this.refused = refused;
+        this.onRefused = onRefused;
     }
 
     HostPort address() {
@@ -68,22 +73,22 @@
         return connection != null;
     }
 
-    /** True while the router's process is known not to run. */
+    /** True while the peer's process is known not to be running. */
     boolean isDown(long nowMs) {
-        return connection == null && nowMs - refusedAtMs < REFUSED_MS;
+        return connection == null && nowMs - refusedAtMs < DOWN_AFTER_REFUSAL_MS;
     }
 
-    /** Notes that the router was heard, so that it need not be waited for before it is dialled. */
-    void itRuns() {
-        dialAfterMs = 0;
+    /** Allows the next connection attempt at once, because a message from the peer was received. */
+    void resetDialDelay() {
+        nextDialAtMs = 0;
     }
 
     /**
-     * Makes the connection anew. A connection can go silent without a reset: the side that hears nothing makes its
-     * own anew, and the other side, seeing that, does the same.
+     * Closes the current connection so that a new one is made. A connection can go silent without a reset; the side
+     * that receives nothing reconnects, and the other side does the same when it sees that.
      */
-    void renew(long nowMs) {
-        if (connection != null && nowMs - connectedAtMs > HeardRouters.SILENT_MS) {
+    void reconnectIfStale(long nowMs) {
+        if (connection != null && nowMs - connectedAtMs > PeerUsageTracker.SILENT_MS) {
             PeerConnection old = connection;
             connection = null;
             old.close();
@@ -91,19 +96,19 @@
     }
 
     void dial(NetClient client, PeerTraffic traffic, Consumer<PeerMessage> received, long nowMs) {
-        if (dialling || nowMs < dialAfterMs) {
+        if (dialing || nowMs < nextDialAtMs) {
             return;
         }
-        dialling = true;
+        dialing = true;
         client.connect(address.port(), address.host())
                 .onSuccess(socket -> {
-                    dialling = false;
-                    whole = true;
+                    dialing = false;
+                    sendFullState = true;
                     long atMs = MonotonicClock.nowMs();
                     connectedAtMs = atMs;
                     connection = PeerConnection.attach(socket, traffic, received, () -> lost(atMs));
                 })
-                .onFailure(this::notReached);
+                .onFailure(this::connectFailed);
     }
 
     private void lost(long connectionMadeAtMs) {
@@ -113,67 +118,68 @@
         }
     }
 
-    private void notReached(Throwable e) {
+    private void connectFailed(Throwable e) {
         long failedAtMs = MonotonicClock.nowMs();
         if (ConnectErrors.refused(e)) {
             refusedAtMs = failedAtMs;
-            refused.run();
+            onRefused.run();
         }
         LOG.debugf("router not reached router=%s error=%s", routerId, e.getMessage());
-        dialling = false;
-        dialAfterMs = failedAtMs + DIAL_AGAIN_MS;
+        dialing = false;
+        nextDialAtMs = failedAtMs + REDIAL_DELAY_MS;
     }
 
     /**
-     * Sends what has changed, if that is due.
+     * Sends the changes since the last message, if due.
      *
-     * @param life which start of this router it is
-     * @param windows units all routers let through in the quota window, told with a whole message only
+     * @param life identifies the current start of this router
+     * @param windows units that all routers let through in the quota window; sent with full messages only
      */
     void send(String ownId, long life, State now, Supplier<Map<String, Long>> windows, long nowMs) {
-        boolean due = PeerCadence.isDue(now.news(), sent.news(), nowMs - sentAtMs);
-        boolean unitsUsed = now.news().near() && !now.totals().equals(sent.totals());
-        if (!whole && !due && !unitsUsed) {
+        boolean due = PeerCadence.isDue(now.news(), lastSent.news(), nowMs - lastSentAtMs);
+        boolean totalsChanged = now.news().near() && !now.totals().equals(lastSent.totals());
+        if (!sendFullState && !due && !totalsChanged) {
             return;
         }
-        Map<String, TargetUse> uses = whole
+        Map<String, TargetUse> uses = sendFullState
                 ? now.news().uses()
-                : changed(sent.news().uses(), now.news().uses());
+                : changedUses(lastSent.news().uses(), now.news().uses());
         Map<String, Long> totals = new HashMap<>(now.totals());
-        if (!whole) {
-            totals.entrySet().removeIf(e -> e.getValue().equals(sent.totals().get(e.getKey())));
+        if (!sendFullState) {
+            totals.entrySet()
+                    .removeIf(e -> e.getValue().equals(lastSent.totals().get(e.getKey())));
         }
-        boolean taken = connection.send(new PeerMessage.Usage(
+        boolean accepted = connection.send(new PeerMessage.Usage(
                 ownId,
                 life,
-                whole,
+                sendFullState,
                 uses,
                 totals,
-                whole ? windows.get() : Map.of(),
+                sendFullState ? windows.get() : Map.of(),
                 now.news().waiting(),
                 now.news().rates()));
-        if (taken) {
-            sent = now;
-            sentAtMs = nowMs;
+        if (accepted) {
+            lastSent = now;
+            lastSentAtMs = nowMs;
         }
-        // After a message that was dropped, what the other side has is not known.
-        whole = !taken;
+        // If the message was dropped, the peer's state is unknown.
+        sendFullState = !accepted;
     }
 
-    /** True when the router is to be told everything with the next message: what it knows of this one is not known. */
-    boolean startsAnew() {
-        return whole;
+    /** True if the next message must carry the full state, because it is unknown what the peer has. */
+    boolean needsFullState() {
+        return sendFullState;
     }
 
-    /** Sends a message that must not be lost: where it cannot be sent now, the router is told everything later. */
-    void tell(PeerMessage message) {
+    /** Sends a message that must not be lost: if it cannot be sent now, the full state is sent later. */
+    void sendReliably(PeerMessage message) {
         if (connection == null || !connection.send(message)) {
-            whole = true;
+            sendFullState = true;
         }
     }
 
-    /** Sends a message that is of no use later; it is dropped if there is no connection. */
-    void sendNow(PeerMessage message) {
+    /** Sends a message that is useless later; it is dropped if there is no connection. */
+    void sendBestEffort(PeerMessage message) {
         if (connection != null) {
             connection.send(message);
         }
@@ -186,12 +192,12 @@
         }
     }
 
-    private static Map<String, TargetUse> changed(Map<String, TargetUse> before, Map<String, TargetUse> now) {
+    private static Map<String, TargetUse> changedUses(Map<String, TargetUse> before, Map<String, TargetUse> now) {
         Map<String, TargetUse> out = new HashMap<>(now);
         out.entrySet().removeIf(e -> e.getValue().equals(before.get(e.getKey())));
-        Set<String> cleared = new HashSet<>(before.keySet());
-        cleared.removeAll(now.keySet());
-        cleared.forEach(id -> out.put(id, new TargetUse(0, 0)));
+        Set<String> ended = new HashSet<>(before.keySet());
+        ended.removeAll(now.keySet());
+        ended.forEach(id -> out.put(id, new TargetUse(0, 0)));
         return out;
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/QuarantineKeeper.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/QuarantineKeeper.java
@@ -6,13 +6,13 @@
 import org.onyxhinge.wire.kv.KvMessage;
 import org.onyxhinge.wire.kv.KvStore;
 
-/** Keeps the record of quarantined requests in the key-value service: a write for each that is quarantined. */
+/** Writes the record of quarantined requests to the key-value service, once for each quarantine. */
 public final class QuarantineKeeper {
 
     private static final Logger LOG = Logger.getLogger(QuarantineKeeper.class);
 
-    /** A router that starts within this of a quarantine may not know of it until another router tells it. */
-    private static final long LOOK_MS = 250;
+    /** A router that starts within this time after a quarantine may not know of it until another router reports it. */
+    private static final long CHECK_INTERVAL_MS = 250;
 
     private final KvStore store;
     private final String key;
@@ -25,10 +25,10 @@
         this.records = records;
     }
 
-    /** Starts keeping the record under {@code key}; to be called on the store's context. */
+    /** Starts writing the record under {@code key}; must be called on the store's context. */
     public static void start(Vertx vertx, KvStore store, String key, FleetRecords records) {
-        QuarantineKeeper keeper = new QuarantineKeeper(store, key, records);
-        vertx.setPeriodic(LOOK_MS, t -> keeper.write());
+        QuarantineKeeper writer = new QuarantineKeeper(store, key, records);
+        vertx.setPeriodic(CHECK_INTERVAL_MS, t -> writer.write());
     }
 
     private void write() {
@@ -36,7 +36,7 @@
             return;
         }
         writing = true;
-        records.quarantineToRecord()
+        records.nextQuarantineRecord()
                 .compose(change -> change.isEmpty()
                         ? Future.<KvMessage.Reply>succeededFuture()
                         : store.put(key, change.get().bytes(), change.get().replaces(), 0))
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/QuarantineRecord.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/QuarantineRecord.java
@@ -13,21 +13,21 @@
 import org.onyxhinge.core.quarantine.RequestFingerprint;
 
 /**
- * The crashes of quarantined requests, as they are kept in the key-value service for routers that start later.
+ * The crashes of quarantined requests, as stored in the key-value service for routers that start later.
  *
  * @param entries the crashes
  */
 record QuarantineRecord(List<Entry> entries) {
 
-    /** A crash takes about 50 bytes; more of them than this are another writer's. */
-    private static final int MOST_ENTRIES = 16_384;
+    /** A crash takes about 50 bytes; a record with more entries than this was not written by a router. */
+    private static final int MAX_ENTRIES = 16_384;
 
     /**
      * One crash.
      *
-     * @param request the request that the target ran
-     * @param incarnation the start of the target that ended
-     * @param atEpochMs when, in ms of the epoch by the writer's clock
+     * @param request the request that the target executed
+     * @param incarnation the incarnation of the target that ended
+     * @param atEpochMs time of the crash in epoch ms, by the writer's clock
      */
     record Entry(RequestFingerprint request, String incarnation, long atEpochMs) {
 
@@ -41,7 +41,7 @@
         entries = List.copyOf(entries);
     }
 
-    /** A record of crashes whose times are of the monotonic clock, which shows {@code nowMs}. */
+    /** Creates a record from crashes timed by the monotonic clock, whose current time is {@code nowMs}. */
     static QuarantineRecord of(List<Crash> crashes, long nowMs) {
         long epochMs = System.currentTimeMillis();
         return new QuarantineRecord(crashes.stream()
@@ -49,7 +49,9 @@
                 .toList());
     }
 
-    /** The crashes by the monotonic clock, which shows {@code nowMs}; one from the future has just been. */
+    /**
+     * The crashes timed by the monotonic clock, whose current time is {@code nowMs}; future times are clamped to now.
+     */
     List<Crash> crashes(long nowMs) {
         long epochMs = System.currentTimeMillis();
         return entries.stream()
@@ -57,12 +59,15 @@
                 .toList();
     }
 
-    /** Whether it holds every crash of another record. */
+    /** Whether this record contains every crash of another record. */
     boolean covers(QuarantineRecord other) {
         return other.entries.stream().allMatch(e -> entries.stream().anyMatch(e::sameCrash));
     }
 
-    /** As bytes: the number of crashes, and of each the request's two halves, the incarnation and the time. */
+    /**
+     * Encodes as MessagePack: the number of crashes, then for each the two halves of the fingerprint, the incarnation
+     * and the time.
+     */
     byte[] encode() {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             out.packArrayHeader(entries.size());
@@ -72,15 +77,15 @@
             }
             return out.toByteArray();
         } catch (IOException e) {
-            throw new IllegalStateException("a buffer in memory cannot fail", e);
+            throw new IllegalStateException("writing to an in-memory buffer failed", e);
         }
     }
 
-    /** Reads bytes; the left side says what is wrong with them. */
+    /** Decodes a record; the left side describes what is wrong with the bytes. */
     static Either<String, QuarantineRecord> decode(byte[] bytes) {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
             int size = in.unpackArrayHeader();
-            if (size > MOST_ENTRIES) {
+            if (size > MAX_ENTRIES) {
                 return Either.left("too many crashes: " + size);
             }
             List<Entry> entries = new ArrayList<>();
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/RouterPeers.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/RouterPeers.java
@@ -23,9 +23,9 @@
 import org.onyxhinge.wire.peer.PeerTraffic;
 
 /**
- * What routers tell each other: their calls on each target and the units each workspace has used. Each
- * router connects to every other one and sends what has changed since its last message, and at least a
- * sign of life. What a router that falls silent had running is forgotten; its part of the quotas is not.
+ * State exchange between routers: their calls on each target and the units used by each workspace. Each router connects
+ * to every other one and sends the changes since its last message, or at least a heartbeat. When a router becomes
+ * silent its calls are forgotten, but its share of the quotas is not.
  */
 final class RouterPeers {
 
@@ -34,104 +34,104 @@
     private static final int CONNECT_TIMEOUT_MS = 500;
 
     /**
-     * A router whose registration lapsed may still be serving where nothing stops it; its part of the quotas is
-     * kept so long.
+     * A router whose registration lapsed may still be serving if nothing stops it; its share of the quotas is kept this
+     * long.
      */
-    private static final long KEEP_VANISHED_MS = 10_000;
+    private static final long DEPARTED_RETENTION_MS = 10_000;
 
     /**
-     * Where keys must be proved fresh it has stopped before its registration could lapse, but all registrations may
-     * have lapsed while the store was away: those that live are registered again within two renewals, 1.3 s each.
+     * If API keys must be confirmed, a router stops serving before its registration can lapse. But all registrations
+     * may have lapsed while the store was unavailable; live routers register again within two renewals of 1.3 s each.
      */
-    private static final long REGISTERS_AGAIN_MS = 3_000;
+    private static final long REREGISTRATION_MS = 3_000;
 
     private final Vertx vertx;
     private final ForwardingSettings settings;
     private final long life = ThreadLocalRandom.current().nextLong(1, Long.MAX_VALUE);
-    private final Side side;
+    private final Delegate delegate;
     private final NetClient client;
     private final PeerTraffic traffic = new PeerTraffic();
     private final Map<String, PeerLink> links = new HashMap<>();
-    private final HeardRouters heard = new HeardRouters();
-    private final Map<String, Long> vanishedAtMs = new HashMap<>();
-    private long beatDueMs;
-    private long beatTimer = -1;
+    private final PeerUsageTracker usageTracker = new PeerUsageTracker();
+    private final Map<String, Long> unregisteredAtMs = new HashMap<>();
+    private long nextSendAtMs;
+    private long sendTimerId = -1;
 
-    /** The router on whose behalf they are spoken to. */
-    interface Side {
+    /** The router that takes part in the exchange. */
+    interface Delegate {
 
-        /** What each other router, by its id, is to be told of this one's calls now. */
+        /** The current state of this router's calls, by the id of the router it is sent to. */
         Function<String, PeerNews> news();
 
-        /** Routers that are to be told at once what this one does. */
+        /** Number of routers that are notified of changes at once. */
         int nearRouters();
 
-        /** Whether calls wait here. */
+        /** Whether calls are waiting here. */
         boolean callsWait();
 
-        /** What to ask a router of another group now. */
+        /** The slot request to send now to a router of another group, if any. */
         Optional<SlotRequest> slotsToBorrow();
 
-        /** Units each workspace has used here since the start. */
+        /** Units that each workspace has used here since the start. */
         Map<String, Long> totals();
 
-        /** Units all routers let through in the quota window, where that is known. */
+        /** Units that all routers let through in the quota window, where known. */
         Map<String, Long> windows();
 
-        /** Hears a router's whole current use. */
-        void usageHeard(String routerId, PeerMessage.Usage usage);
+        /** Called with a router's complete current usage. */
+        void onUsage(String routerId, PeerMessage.Usage usage);
 
-        /** Hears that a router has fallen silent: what it had running is forgotten, its part of the quotas is not. */
-        void routerSilent(String routerId);
+        /** Called when a router has become silent: its calls are forgotten, its share of the quotas is not. */
+        void onRouterSilent(String routerId);
 
-        /** Hears that a router is registered. */
-        void routerJoined(String routerId, String dataCentre);
+        /** Called when a router is registered. */
+        void onRouterJoined(String routerId, String dataCentre);
 
-        /** Hears that a router has left. */
-        void routerLeft(String routerId);
+        /** Called when a router has left. */
+        void onRouterLeft(String routerId);
 
-        /** Hears that a router reserves a slot at a target for this one. */
-        void slotReserved(String targetId);
+        /** Called when another router reserves a slot at a target for this one. */
+        void onSlotReserved(String targetId);
 
-        /** Hears that a router of another group has calls that wait. */
-        void slotsWanted(PeerMessage.SlotsWanted wanted);
+        /** Called when a router of another group has waiting calls. */
+        void onSlotsWanted(PeerMessage.SlotsWanted wanted);
 
-        /** What all routers are to know, for one that may know of none of it. */
-        List<PeerMessage.BetweenRouters> knownToAll();
+        /** Everything that all routers should know, for a router that may know none of it. */
+        List<PeerMessage.BetweenRouters> broadcastState();
 
-        /** Hears of targets that ended while they ran requests. */
-        void crashesHeard(PeerMessage.Crashes crashes);
+        /** Called with targets that ended while they executed requests. */
+        void onCrashes(PeerMessage.Crashes crashes);
 
-        /** Hears that a request is no suspect. */
-        void answeredWhole(PeerMessage.AnsweredWhole answered);
+        /** Called when a request no longer counts as a suspect. */
+        void onAnswered(PeerMessage.AnsweredWhole answered);
 
-        /** Hears of targets' rate limits. */
-        void limitsHeard(PeerMessage.TargetLimits limits);
+        /** Called with targets' rate limits. */
+        void onTargetLimits(PeerMessage.TargetLimits limits);
     }
 
-    private RouterPeers(Vertx vertx, ForwardingSettings settings, Side side) {
+    private RouterPeers(Vertx vertx, ForwardingSettings settings, Delegate delegate) {
         this.vertx = vertx;
         this.settings = settings;
-        this.side = side;
+        this.delegate = delegate;
         this.client = vertx.createNetClient(
                 new NetClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS).setTcpNoDelay(true));
     }
 
-    /** Listens for other routers. */
-    static Future<RouterPeers> start(Vertx vertx, ForwardingSettings settings, Side side) {
-        RouterPeers peers = new RouterPeers(vertx, settings, side);
+    /** Starts listening for other routers. */
+    static Future<RouterPeers> start(Vertx vertx, ForwardingSettings settings, Delegate delegate) {
+        RouterPeers peers = new RouterPeers(vertx, settings, delegate);
         return vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true))
                 .connectHandler(socket -> PeerConnection.attach(socket, peers.traffic, peers::received, () -> {}))
                 .listen(settings.peerPort(), settings.peerHost())
                 .map(server -> {
-                    peers.scheduleBeat(PeerCadence.intervalMs(0, false));
+                    peers.scheduleSend(PeerCadence.intervalMs(0, false));
                     return peers;
                 });
     }
 
-    /** Takes in a router that is registered at {@code addressText}, HOST:PORT, in a data centre ("" for unknown). */
+    /** Adds a registered router. Its address {@code addressText} is HOST:PORT, its data centre "" if unknown. */
     void registered(String routerId, String addressText, String dataCentre) {
-        vanishedAtMs.remove(routerId);
+        unregisteredAtMs.remove(routerId);
         HostPort address;
         try {
             address = HostPort.parse("address", addressText);
@@ -142,54 +142,56 @@
         if (routerId.equals(settings.routerId())) {
             return;
         }
-        side.routerJoined(routerId, dataCentre);
-        PeerLink known = links.get(routerId);
-        if (known != null && known.address().equals(address)) {
+        delegate.onRouterJoined(routerId, dataCentre);
+        PeerLink existing = links.get(routerId);
+        if (existing != null && existing.address().equals(address)) {
             return;
         }
-        if (known != null) {
-            known.close();
+        if (existing != null) {
+            existing.close();
         }
         LOG.infof("router joined router=%s address=%s", routerId, address);
-        links.put(routerId, new PeerLink(routerId, address, () -> heard.forget(routerId, side::routerSilent)));
+        links.put(
+                routerId,
+                new PeerLink(routerId, address, () -> usageTracker.markEnded(routerId, delegate::onRouterSilent)));
     }
 
-    /** Notes that a router is no longer registered. */
+    /** Records that a router is no longer registered. */
     void unregistered(String routerId) {
         if (links.containsKey(routerId)) {
-            vanishedAtMs.put(routerId, MonotonicClock.nowMs());
+            unregisteredAtMs.put(routerId, MonotonicClock.nowMs());
         }
     }
 
-    /** Routers there should be, this one included. */
-    int known() {
+    /** Number of routers that should be running, including this one. */
+    int expectedRouters() {
         long nowMs = MonotonicClock.nowMs();
         return 1 + (int) links.values().stream().filter(l -> !l.isDown(nowMs)).count();
     }
 
-    /** The part of the routers there should be that are heard, this one counted in both. */
+    /** Fraction of the expected routers that messages arrive from; this router counts in both numbers. */
     double heardPart() {
         long nowMs = MonotonicClock.nowMs();
         int n = 1;
         for (Map.Entry<String, PeerLink> e : links.entrySet()) {
-            n += !e.getValue().isDown(nowMs) && heard.speaks(e.getKey(), nowMs) ? 1 : 0;
+            n += !e.getValue().isDown(nowMs) && usageTracker.isAlive(e.getKey(), nowMs) ? 1 : 0;
         }
-        return (double) n / known();
+        return (double) n / expectedRouters();
     }
 
-    /** Whether this router's id comes first among those that hear each other. */
-    boolean comesFirst() {
-        return heard.noneBefore(settings.routerId(), MonotonicClock.nowMs());
+    /** Whether this router has the lowest id of the live routers. */
+    boolean hasLowestLiveId() {
+        return usageTracker.isLowestLiveId(settings.routerId(), MonotonicClock.nowMs());
     }
 
     private void received(PeerMessage message) {
         switch (message) {
             case PeerMessage.Usage usage -> usageReceived(usage);
-            case PeerMessage.SlotReserved r -> side.slotReserved(r.targetId());
-            case PeerMessage.SlotsWanted w -> side.slotsWanted(w);
-            case PeerMessage.Crashes c -> side.crashesHeard(c);
-            case PeerMessage.AnsweredWhole a -> side.answeredWhole(a);
-            case PeerMessage.TargetLimits l -> side.limitsHeard(l);
+            case PeerMessage.SlotReserved r -> delegate.onSlotReserved(r.targetId());
+            case PeerMessage.SlotsWanted w -> delegate.onSlotsWanted(w);
+            case PeerMessage.Crashes c -> delegate.onCrashes(c);
+            case PeerMessage.AnsweredWhole a -> delegate.onAnswered(a);
+            case PeerMessage.TargetLimits l -> delegate.onTargetLimits(l);
             default ->
                 LOG.warnf(
                         "unexpected message between routers type=%s",
@@ -199,86 +201,91 @@
 
     private void usageReceived(PeerMessage.Usage usage) {
         long nowMs = MonotonicClock.nowMs();
-        PeerMessage.Usage now = heard.received(usage, nowMs);
-        PeerLink back = links.get(usage.routerId());
-        if (back != null) {
-            back.itRuns();
+        PeerMessage.Usage now = usageTracker.update(usage, nowMs);
+        PeerLink link = links.get(usage.routerId());
+        if (link != null) {
+            link.resetDialDelay();
             if (usage.whole()) {
-                back.renew(nowMs);
+                link.reconnectIfStale(nowMs);
             }
         }
-        side.usageHeard(usage.routerId(), now);
+        delegate.onUsage(usage.routerId(), now);
     }
 
-    /** Notes that a call waits: peers that have room are told of it sooner than usual. */
-    void callsWait() {
-        long inMs = PeerCadence.intervalMs(side.nearRouters(), true);
-        if (beatDueMs - MonotonicClock.nowMs() > inMs) {
-            vertx.cancelTimer(beatTimer);
-            scheduleBeat(inMs);
+    /** Called when a call starts to wait: the next update is sent sooner, so that peers with free slots learn of it. */
+    void callQueued() {
+        long delayMs = PeerCadence.intervalMs(delegate.nearRouters(), true);
+        if (nextSendAtMs - MonotonicClock.nowMs() > delayMs) {
+            vertx.cancelTimer(sendTimerId);
+            scheduleSend(delayMs);
         }
     }
 
-    private void scheduleBeat(long inMs) {
-        beatDueMs = MonotonicClock.nowMs() + inMs;
-        beatTimer = vertx.setTimer(inMs, t -> {
-            scheduleBeat(PeerCadence.intervalMs(side.nearRouters(), side.callsWait()));
-            beat();
+    private void scheduleSend(long delayMs) {
+        nextSendAtMs = MonotonicClock.nowMs() + delayMs;
+        sendTimerId = vertx.setTimer(delayMs, t -> {
+            scheduleSend(PeerCadence.intervalMs(delegate.nearRouters(), delegate.callsWait()));
+            sendUpdates();
         });
     }
 
-    private void beat() {
+    private void sendUpdates() {
         long nowMs = MonotonicClock.nowMs();
-        heard.forgetSilent(nowMs, side::routerSilent);
-        dropVanished(nowMs);
+        usageTracker.expireSilent(nowMs, delegate::onRouterSilent);
+        removeDepartedRouters(nowMs);
         if (links.isEmpty()) {
             return;
         }
-        Function<String, PeerNews> news = side.news();
-        Map<String, Long> totals = side.totals();
+        Function<String, PeerNews> news = delegate.news();
+        Map<String, Long> totals = delegate.totals();
         links.forEach((id, link) -> {
-            if (!heard.speaks(id, nowMs)) {
-                link.renew(nowMs);
+            if (!usageTracker.isAlive(id, nowMs)) {
+                link.reconnectIfStale(nowMs);
             }
             if (link.connected()) {
-                if (link.startsAnew()) {
-                    side.knownToAll().forEach(link::sendNow);
+                if (link.needsFullState()) {
+                    delegate.broadcastState().forEach(link::sendBestEffort);
                 }
-                link.send(settings.routerId(), life, new PeerLink.State(news.apply(id), totals), side::windows, nowMs);
+                link.send(
+                        settings.routerId(),
+                        life,
+                        new PeerLink.State(news.apply(id), totals),
+                        delegate::windows,
+                        nowMs);
             } else {
                 link.dial(client, traffic, this::received, nowMs);
             }
         });
-        side.slotsToBorrow()
-                .ifPresent(r -> sendNow(
+        delegate.slotsToBorrow()
+                .ifPresent(r -> sendBestEffort(
                         r.router(), new PeerMessage.SlotsWanted(settings.routerId(), r.service(), r.waiting())));
     }
 
-    /** Tells every router something at once. */
-    void tellAll(PeerMessage.BetweenRouters message) {
-        links.values().forEach(l -> l.tell(message));
+    /** Sends a message to every other router at once. */
+    void broadcast(PeerMessage.BetweenRouters message) {
+        links.values().forEach(l -> l.sendReliably(message));
     }
 
-    private void sendNow(String routerId, PeerMessage message) {
-        Optional.ofNullable(links.get(routerId)).ifPresent(l -> l.sendNow(message));
+    private void sendBestEffort(String routerId, PeerMessage message) {
+        Optional.ofNullable(links.get(routerId)).ifPresent(l -> l.sendBestEffort(message));
     }
 
-    /** A router that is still heard has not left, whatever the registry says. */
-    private void dropVanished(long nowMs) {
-        long keepMs = settings.keyProofMs() > 0 ? REGISTERS_AGAIN_MS : KEEP_VANISHED_MS;
-        vanishedAtMs.entrySet().removeIf(e -> {
-            boolean drop = nowMs - e.getValue() > keepMs && !heard.speaks(e.getKey(), nowMs);
-            if (drop) {
+    /** A router that messages still arrive from has not left, whatever the registry says. */
+    private void removeDepartedRouters(long nowMs) {
+        long retentionMs = settings.keyProofMs() > 0 ? REREGISTRATION_MS : DEPARTED_RETENTION_MS;
+        unregisteredAtMs.entrySet().removeIf(e -> {
+            boolean departed = nowMs - e.getValue() > retentionMs && !usageTracker.isAlive(e.getKey(), nowMs);
+            if (departed) {
                 LOG.infof("router left router=%s", e.getKey());
                 Optional.ofNullable(links.remove(e.getKey())).ifPresent(PeerLink::close);
-                side.routerLeft(e.getKey());
+                delegate.onRouterLeft(e.getKey());
             }
-            return drop;
+            return departed;
         });
     }
 
-    /** Tells a router that a slot at a target is reserved for it. */
-    void slotReserved(String routerId, String targetId) {
-        sendNow(routerId, new PeerMessage.SlotReserved(targetId));
+    /** Notifies a router that a slot at a target is reserved for it. */
+    void sendSlotReserved(String routerId, String targetId) {
+        sendBestEffort(routerId, new PeerMessage.SlotReserved(targetId));
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Intake.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/StartScheduler.java
@@ -8,19 +8,19 @@
 import org.onyxhinge.wire.MonotonicClock;
 
 /**
- * Begins callers' requests in the order of their ranks, a slice of time at once, and lets the event loop read what has
- * come in between. While the router has processor time to spare each is begun in the turn in which it was read.
+ * Starts processing of callers' requests in order of rank, in time slices between which the event loop reads new
+ * requests. While the router has spare processor time, each request starts in the event loop turn in which it was read.
  */
-final class Intake {
+final class StartScheduler {
 
     /**
-     * Most time in a row for beginning calls. Long against one call of a warm router (under a ms), short against the
-     * target latencies of the most urgent, which may be read right after.
+     * Maximum time per slice. Long compared with one call of a warmed-up router (under 1 ms), short compared with the
+     * target latencies of the most urgent requests, which may be read right after the slice.
      */
     private static final long SLICE_MS = 5;
 
-    /** The shortest timer there is: the event loop reads its connections before it fires. */
-    private static final long READ_BETWEEN_MS = 1;
+    /** The shortest possible timer: the event loop reads its connections before the timer fires. */
+    private static final long READ_PAUSE_MS = 1;
 
     private final Vertx vertx;
     private final Context context;
@@ -28,30 +28,30 @@
     private final BeginQueue<Exchange> queue = BeginQueue.create();
     private boolean scheduled;
 
-    Intake(Vertx vertx, Context context, ForwardingMetrics metrics) {
+    StartScheduler(Vertx vertx, Context context, ForwardingMetrics metrics) {
         this.vertx = vertx;
         this.context = context;
         this.metrics = metrics;
     }
 
-    /** Takes a request in whose head has been checked. */
+    /** Enqueues a request whose head has been accepted. */
     void offer(Exchange exchange, CallPlan plan) {
         long waitMs = queue.expectedWaitMs(plan.rank());
         if (MonotonicClock.nowMs() + waitMs > plan.times().holdUntilMs()) {
-            exchange.refuseStarved(waitMs);
+            exchange.refuseOverloaded(waitMs);
             return;
         }
         queue.add(exchange, plan.rank(), plan.times().holdUntilMs());
         if (!scheduled) {
             scheduled = true;
-            context.runOnContext(v -> turn());
+            context.runOnContext(v -> runSlice());
         }
     }
 
-    private void turn() {
+    private void runSlice() {
         long startMs = MonotonicClock.nowMs();
         for (Exchange late : queue.expired(startMs)) {
-            late.refuseStarved(queue.expectedWaitMs(Integer.MAX_VALUE));
+            late.refuseOverloaded(queue.expectedWaitMs(Integer.MAX_VALUE));
         }
         long nowMs = startMs;
         Optional<Exchange> next = queue.next(nowMs);
@@ -63,12 +63,12 @@
         scheduled = !queue.isEmpty();
         if (scheduled) {
             metrics.event("intake.behind");
-            vertx.setTimer(READ_BETWEEN_MS, t -> turn());
+            vertx.setTimer(READ_PAUSE_MS, t -> runSlice());
         }
     }
 
-    /** Requests that wait to be begun. */
-    int waiting() {
+    /** Number of requests whose processing has not started. */
+    int queuedCount() {
         return queue.size();
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/StreamProgress.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/StreamProgress.java
@@ -6,7 +6,7 @@
 import org.onyxhinge.core.place.TargetState;
 import org.onyxhinge.wire.MonotonicClock;
 
-/** How far the stream of one caller has come, over all targets that make it in turn. */
+/** Progress of one caller's stream across all targets that produce it in turn. */
 final class StreamProgress {
 
     private EventSplitter splitter = new EventSplitter();
@@ -15,7 +15,7 @@
     private long longestGapMs;
     private int events;
 
-    /** The last event the caller has; another target goes on after it. */
+    /** Id of the last event that the caller received; another target continues after it. */
     Optional<String> resumeAfter() {
         return resumeAfter;
     }
@@ -24,42 +24,42 @@
         resumeAfter = eventId;
     }
 
-    /** Events the caller has been sent. */
+    /** Number of events sent to the caller. */
     int events() {
         return events;
     }
 
-    /** The longest pause between two events from one target. */
+    /** The longest time between two events from the same target. */
     long longestGapMs() {
         return longestGapMs;
     }
 
-    /** A target begins, or goes on, to send. */
-    void begins() {
+    /** Resets the state for a target that starts or continues the stream. */
+    void streamStarted() {
         splitter = new EventSplitter();
         lastEventAtMs = 0;
     }
 
-    /** Takes bytes from the target; returns the whole events they complete, and learns the target's pace. */
+    /** Adds bytes from the target; returns the events they complete, and updates the target's event interval. */
     Optional<Buffer> feed(Buffer bytes, TargetState target) {
         int before = splitter.events();
-        Optional<Buffer> whole = splitter.feed(bytes);
-        if (whole.isPresent()) {
-            int more = splitter.events() - before;
+        Optional<Buffer> complete = splitter.feed(bytes);
+        if (complete.isPresent()) {
+            int added = splitter.events() - before;
             long nowMs = MonotonicClock.nowMs();
             if (lastEventAtMs > 0) {
-                target.learnGap((double) (nowMs - lastEventAtMs) / Math.max(1, more));
+                target.learnGap((double) (nowMs - lastEventAtMs) / Math.max(1, added));
                 longestGapMs = Math.max(longestGapMs, nowMs - lastEventAtMs);
             }
             lastEventAtMs = nowMs;
-            events += more;
+            events += added;
             splitter.lastId().ifPresent(id -> resumeAfter = Optional.of(id));
         }
-        return whole;
+        return complete;
     }
 
-    /** True when the target has sent a part of an event. */
-    boolean insideAnEvent() {
-        return splitter.rest().length() > 0;
+    /** True if the target has sent an incomplete event. */
+    boolean hasPartialEvent() {
+        return splitter.partial().length() > 0;
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetConnection.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetConnection.java
@@ -6,8 +6,8 @@
  * One connection to a target; it carries one call at a time.
  *
  * @param http the connection
- * @param incarnation the start of the target that it leads to
- * @param idleUntilMs until when it may be used again; 0 while it is in use
+ * @param incarnation the incarnation of the target that it leads to
+ * @param idleUntilMs until when it may be reused; 0 while in use
  */
 record TargetConnection(HttpClientConnection http, String incarnation, long idleUntilMs) {
 
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetConnections.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetConnections.java
@@ -17,20 +17,20 @@
 import org.onyxhinge.wire.MonotonicClock;
 
 /**
- * Connections to targets, kept open between calls: each new one costs the target a handshake and may
- * hold one of its slots. The one used last is used first, so the others fall idle and are closed.
+ * Pool of connections to targets: each new connection costs the target a handshake and may occupy one of its slots. The
+ * most recently used connection is reused first, so that the others become idle and are closed.
  */
 final class TargetConnections {
 
-    /** A path within a region takes a few ms; one lost packet costs about 200 ms. */
+    /** A round trip within a region takes a few ms; one lost packet costs about 200 ms. */
     private static final int CONNECT_TIMEOUT_MS = 600;
 
-    private static final int HEADER_BYTES = 32_768;
+    private static final int MAX_RESPONSE_HEADER_BYTES = 32_768;
     private static final int MS_PER_SECOND = 1_000;
-    /** Safety before the target's own idle timeout, so that a call does not cross its close. */
+    /** Safety margin before the target's own idle timeout, so that a call does not cross the target's close. */
     private static final long IDLE_MARGIN_MS = 400;
-    /** Where the target names no timeout it is under a second. */
-    private static final long UNNAMED_IDLE_MS = 500;
+    /** Used if the target reports no timeout. Kept below one second. */
+    private static final long DEFAULT_IDLE_MS = 500;
 
     private final HttpClientAgent client;
     private final Map<String, Deque<TargetConnection>> idle = new HashMap<>();
@@ -46,16 +46,16 @@
                 .setConnectTimeout(CONNECT_TIMEOUT_MS)
                 .setTcpNoDelay(true)
                 .setKeepAlive(true)
-                .setMaxHeaderSize(HEADER_BYTES)
+                .setMaxHeaderSize(MAX_RESPONSE_HEADER_BYTES)
                 .setDecompressionSupported(false);
         return new TargetConnections(vertx.createHttpClient(options));
     }
 
     /**
-     * A connection that carries no call. Fails when none can be made, or when the target has {@code most}
-     * from here already; no byte of a call has been sent then.
+     * Returns an idle or new connection. Fails if none can be made or if this router already has {@code maxConnections}
+     * to the target; no byte of a call has been sent in that case.
      */
-    Future<TargetConnection> acquire(Target target, int most) {
+    Future<TargetConnection> acquire(Target target, int maxConnections) {
         String incarnation = target.incarnation();
         Deque<TargetConnection> free = idle.get(incarnation);
         long nowMs = MonotonicClock.nowMs();
@@ -66,13 +66,14 @@
             }
             c.http().close();
         }
-        if (open.getOrDefault(incarnation, 0) >= most) {
-            return Future.failedFuture("already " + most + " connections to " + target.id());
+        if (open.getOrDefault(incarnation, 0) >= maxConnections) {
+            return Future.failedFuture(
+                    "connection limit reached: " + maxConnections + " connections to " + target.id());
         }
         return connect(target);
     }
 
-    /** Tries whether anything listens at a target's address; fails when no connection can be made. */
+    /** Tests whether a process listens at a target's address; fails if no connection can be made. */
     Future<Void> probe(Target target) {
         return connect(target).map(c -> {
             release(c, null);
@@ -105,16 +106,16 @@
     }
 
     /**
-     * Takes back a connection whose call and answer are both complete.
+     * Returns a connection to the pool after its call and response are both complete.
      *
-     * @param keepAlive the answer's {@code Keep-Alive} header, or null
+     * @param keepAlive the {@code Keep-Alive} header of the response, or null
      */
     void release(TargetConnection c, String keepAlive) {
         long idleUntilMs = MonotonicClock.nowMs() + idleMs(keepAlive);
         idle.computeIfAbsent(c.incarnation(), id -> new ArrayDeque<>()).addFirst(c.idleUntil(idleUntilMs));
     }
 
-    /** How long a connection may be reused for, by the {@code timeout} of RFC 2068, section 19.7.1. */
+    /** How long a connection may be reused, according to the {@code timeout} of RFC 2068, section 19.7.1. */
     static long idleMs(String keepAlive) {
         if (keepAlive != null) {
             for (String part : keepAlive.split(",")) {
@@ -124,27 +125,27 @@
                 }
             }
         }
-        return UNNAMED_IDLE_MS;
+        return DEFAULT_IDLE_MS;
     }
 
     private static long parseSeconds(String text) {
         try {
             return Math.max(0, Long.parseLong(text) * MS_PER_SECOND - IDLE_MARGIN_MS);
         } catch (NumberFormatException e) {
-            return UNNAMED_IDLE_MS;
+            return DEFAULT_IDLE_MS;
         }
     }
 
-    /** Closes idle connections that are past their time or lead to targets that are gone. */
+    /** Closes idle connections that have expired or lead to targets that no longer exist. */
     void sweep(java.util.function.Predicate<String> targetKnown) {
         long nowMs = MonotonicClock.nowMs();
         List<TargetConnection> stale = new ArrayList<>();
         idle.forEach((id, free) -> free.removeIf(c -> {
-            boolean drop = !c.usable(nowMs) || !targetKnown.test(id);
-            if (drop) {
+            boolean unusable = !c.usable(nowMs) || !targetKnown.test(id);
+            if (unusable) {
                 stale.add(c);
             }
-            return drop;
+            return unusable;
         }));
         idle.values().removeIf(Deque::isEmpty);
         stale.forEach(c -> c.http().close());
@@ -156,7 +157,7 @@
     }
 
     /** Connections open now. */
-    int openNow() {
+    int openCount() {
         return open.values().stream().mapToInt(Integer::intValue).sum();
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/LimitedTargets.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetRateLimits.java
@@ -10,42 +10,42 @@
 import org.onyxhinge.wire.MonotonicClock;
 import org.onyxhinge.wire.peer.PeerMessage;
 
-/** The rate limits that targets name in their answers: what one router is told, all are told at once. */
-final class LimitedTargets {
+/** The rate limits that targets report in their responses, shared between all routers at once. */
+final class TargetRateLimits {
 
-    private static final Logger LOG = Logger.getLogger(LimitedTargets.class);
+    private static final Logger LOG = Logger.getLogger(TargetRateLimits.class);
 
     private final Placement placement;
     private final ForwardingMetrics metrics;
-    private final Consumer<PeerMessage.BetweenRouters> tellAll;
+    private final Consumer<PeerMessage.BetweenRouters> broadcast;
 
     /**
-     * Creates one that knows of no limit.
+     * Creates an instance without limits.
      *
-     * @param tellAll tells every other router
+     * @param broadcast sends a message to every other router
      */
-    LimitedTargets(Placement placement, ForwardingMetrics metrics, Consumer<PeerMessage.BetweenRouters> tellAll) {
+    TargetRateLimits(Placement placement, ForwardingMetrics metrics, Consumer<PeerMessage.BetweenRouters> broadcast) {
         this.placement = placement;
         this.metrics = metrics;
-        this.tellAll = tellAll;
+        this.broadcast = broadcast;
     }
 
     /**
-     * Takes in the head of a target's answer. One that may be another's, or a failure on the way, is no evidence that a
-     * limit has ended.
+     * Handles the head of a target's response. A response that may belong to another request, or may be a failure on
+     * the way, is no evidence that a limit has ended.
      *
      * @param sentAtMs when the call was sent
      */
-    void answered(TargetState target, AnswerHead head, long sentAtMs) {
+    void responseReceived(TargetState target, AnswerHead head, long sentAtMs) {
         if (head.foreign()) {
             return;
         }
         String incarnation = target.incarnation();
         switch (head.limit()) {
-            case NamedLimit.PerSecond p -> named(incarnation, p.perSecond());
+            case NamedLimit.PerSecond p -> limitReported(incarnation, p.perSecond());
             case NamedLimit.None n -> {
                 if (head.trusted()) {
-                    notNamed(incarnation, sentAtMs);
+                    limitNotReported(incarnation, sentAtMs);
                 }
             }
             case NamedLimit.Unreadable u ->
@@ -53,34 +53,34 @@
         }
     }
 
-    private void named(String incarnation, double perSecond) {
+    private void limitReported(String incarnation, double perSecond) {
         if (placement.limitNamed(incarnation, perSecond, MonotonicClock.nowMs())) {
             metrics.event("targets.limited");
             LOG.infof("target limited incarnation=%s perSecond=%s", incarnation, perSecond);
-            tell(new PeerMessage.LimitedAgo(incarnation, true, perSecond, 0));
+            broadcastChange(new PeerMessage.LimitedAgo(incarnation, true, perSecond, 0));
         }
     }
 
-    private void notNamed(String incarnation, long sentAtMs) {
+    private void limitNotReported(String incarnation, long sentAtMs) {
         if (placement.limitNotNamed(incarnation, sentAtMs)) {
             LOG.infof("target limit over incarnation=%s", incarnation);
-            tell(new PeerMessage.LimitedAgo(incarnation, false, 0, MonotonicClock.nowMs() - sentAtMs));
+            broadcastChange(new PeerMessage.LimitedAgo(incarnation, false, 0, MonotonicClock.nowMs() - sentAtMs));
         }
     }
 
-    private void tell(PeerMessage.LimitedAgo change) {
-        tellAll.accept(new PeerMessage.TargetLimits(List.of(change)));
+    private void broadcastChange(PeerMessage.LimitedAgo change) {
+        broadcast.accept(new PeerMessage.TargetLimits(List.of(change)));
     }
 
-    /** Takes in what another router was told. */
-    void heard(PeerMessage.TargetLimits message) {
+    /** Applies limits reported to another router. */
+    void receive(PeerMessage.TargetLimits message) {
         long nowMs = MonotonicClock.nowMs();
         for (PeerMessage.LimitedAgo l : message.limits()) {
             long atMs = nowMs - l.agoMs();
-            boolean news = l.named()
+            boolean changed = l.named()
                     ? placement.limitNamed(l.incarnation(), l.perSecond(), atMs)
                     : placement.limitNotNamed(l.incarnation(), atMs);
-            if (news) {
+            if (changed) {
                 LOG.infof(
                         "target limit heard incarnation=%s named=%b perSecond=%s agoMs=%d",
                         l.incarnation(), l.named(), l.perSecond(), l.agoMs());
@@ -88,8 +88,8 @@
         }
     }
 
-    /** Every limit that is known, for a router that may know of none. */
-    PeerMessage.TargetLimits news() {
+    /** All known limits, for a router that may know of none. */
+    PeerMessage.TargetLimits activeLimits() {
         long nowMs = MonotonicClock.nowMs();
         return new PeerMessage.TargetLimits(placement.limits().stream()
                 .map(l -> new PeerMessage.LimitedAgo(l.incarnation(), true, l.perSecond(), nowMs - l.atMs()))
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetRegistry.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetRegistry.java
@@ -10,61 +10,64 @@
 import org.onyxhinge.core.place.TargetState;
 import org.onyxhinge.wire.MonotonicClock;
 
-/** The targets of a forwarder, as they are registered. The public methods may be called from any thread. */
+/** The targets of a forwarder as they are registered. The public methods may be called from any thread. */
 public final class TargetRegistry {
 
     private static final Logger LOG = Logger.getLogger(TargetRegistry.class);
 
     private final Context context;
     private final Placement placement;
-    private final CrashingRequests crashing;
-    private final Runnable changed;
+    private final CrashQuarantine crashQuarantine;
+    private final Runnable onChange;
     private final LapsedTargets lapsed = LapsedTargets.create();
 
     /**
-     * A registry without targets.
+     * Creates a registry without targets.
      *
-     * @param changed called when a target was taken in, so that waiting calls are looked at
+     * @param onChange called when a target was added, so that waiting calls are reconsidered
      */
-    TargetRegistry(Context context, Placement placement, CrashingRequests crashing, Runnable changed) {
+    TargetRegistry(Context context, Placement placement, CrashQuarantine crashQuarantine, Runnable onChange) {
         this.context = context;
         this.placement = placement;
-        this.crashing = crashing;
-        this.changed = changed;
+        this.crashQuarantine = crashQuarantine;
+        this.onChange = onChange;
     }
 
-    /** Takes a registry entry of a target in. */
+    /** Adds or updates a registered target. */
     public void seen(Target target) {
         context.runOnContext(v -> {
             lapsed.settled(target.id());
             Optional<TargetState> replaced = placement.targetSeen(target);
-            replaced.ifPresent(crashing::ended);
-            changed.run();
+            replaced.ifPresent(crashQuarantine::targetEnded);
+            onChange.run();
         });
     }
 
-    /** Takes a target out that is no longer registered. */
+    /** Removes a target that is no longer registered. */
     public void gone(String id) {
         context.runOnContext(v -> {
             lapsed.settled(id);
-            takeOut(id);
+            removeTarget(id);
         });
     }
 
-    /** Notes that a target's registration is missing after the registry was away; it may soon be back. */
+    /**
+     * Records that a target's registration is missing after the registry was unavailable; the target may soon register
+     * again.
+     */
     public void lapsed(String id) {
         context.runOnContext(v -> lapsed.lapsed(id, MonotonicClock.nowMs()));
     }
 
-    private void takeOut(String id) {
-        placement.targetGone(id).ifPresent(crashing::ended);
+    private void removeTarget(String id) {
+        placement.targetGone(id).ifPresent(crashQuarantine::targetEnded);
     }
 
-    /** Takes out the targets that have not registered again in time. */
+    /** Removes the targets that have not registered again in time. */
     void sweep(long nowMs) {
         for (String id : lapsed.due(nowMs)) {
             LOG.infof("target gone id=%s why=\"not registered again after the registry was away\"", id);
-            takeOut(id);
+            removeTarget(id);
         }
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/UsageKeeper.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/UsageKeeper.java
@@ -7,16 +7,16 @@
 import org.onyxhinge.wire.kv.KvStore;
 
 /**
- * Keeps the record of what workspaces have used in the key-value service. One router writes it, so it costs two writes
- * a second whatever the size of the fleet. Without it routers that all start again presume nine tenths of each limit as
- * used, and refuse workspaces within their limits for the first seconds.
+ * Writes the record of the workspaces' usage to the key-value service. Only one router writes it, so the cost is two
+ * writes per second regardless of fleet size. Without the record, routers that all restart at once assume that nine
+ * tenths of each limit are used, and refuse workspaces within their limits for the first seconds.
  */
 public final class UsageKeeper {
 
     private static final Logger LOG = Logger.getLogger(UsageKeeper.class);
 
-    /** What is used between two writes must be presumed at its most, a fortieth of the limit for each 200 ms. */
-    private static final long WRITE_MS = 500;
+    /** Usage between two writes must be assumed to be the maximum, one fortieth of the limit per 200 ms. */
+    private static final long WRITE_INTERVAL_MS = 500;
 
     private final KvStore store;
     private final String key;
@@ -29,10 +29,10 @@
         this.records = records;
     }
 
-    /** Starts keeping the record under {@code key}; to be called on the store's context. */
+    /** Starts writing the record under {@code key}; must be called on the store's context. */
     public static void start(Vertx vertx, KvStore store, String key, FleetRecords records) {
-        UsageKeeper keeper = new UsageKeeper(store, key, records);
-        vertx.setPeriodic(WRITE_MS, t -> keeper.write());
+        UsageKeeper writer = new UsageKeeper(store, key, records);
+        vertx.setPeriodic(WRITE_INTERVAL_MS, t -> writer.write());
     }
 
     private void write() {
@@ -40,7 +40,7 @@
             return;
         }
         writing = true;
-        records.usageToRecord()
+        records.nextUsageRecord()
                 .compose(bytes -> bytes.isEmpty()
                         ? Future.<KvMessage.Reply>succeededFuture()
                         : store.put(key, bytes.get(), KvMessage.ANY, 0))
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/UsageRecord.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/UsageRecord.java
@@ -12,23 +12,23 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * What each workspace had used in the quota window at a moment, over all routers. It is kept in the key-value service,
- * for routers that all start again at once.
+ * Usage of each workspace over all routers, in the quota window that ended at a given time. Stored in the key-value
+ * service for routers that all restart at once.
  *
- * @param asOfMs that moment, in ms of the epoch by the writer's clock
+ * @param asOfMs end of the window in epoch ms, by the writer's clock
  * @param unitsByWorkspace units used
  */
 record UsageRecord(long asOfMs, Map<String, Long> unitsByWorkspace) {
 
-    /** A record is a few dozen bytes a workspace; more entries than this are another writer's. */
-    private static final int MOST_WORKSPACES = 100_000;
+    /** A record takes a few dozen bytes per workspace; one with more entries than this was not written by a router. */
+    private static final int MAX_WORKSPACES = 100_000;
 
-    /** Units a workspace had used; 0 when it is not on record. */
+    /** Units that a workspace had used; 0 if it is not in the record. */
     long units(String workspace) {
         return unitsByWorkspace.getOrDefault(workspace, 0L);
     }
 
-    /** As bytes: the moment, the number of workspaces, and a name and units of each, in MessagePack. */
+    /** Encodes as MessagePack: the time, the number of workspaces, then the name and units of each. */
     byte[] encode() {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             out.packLong(asOfMs);
@@ -39,16 +39,16 @@
             }
             return out.toByteArray();
         } catch (IOException e) {
-            throw new IllegalStateException("a buffer in memory cannot fail", e);
+            throw new IllegalStateException("writing to an in-memory buffer failed", e);
         }
     }
 
-    /** Reads bytes; the left side says what is wrong with them. */
+    /** Decodes a record; the left side describes what is wrong with the bytes. */
     static Either<String, UsageRecord> decode(byte[] bytes) {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
             long asOfMs = in.unpackLong();
             int size = in.unpackMapHeader();
-            if (size > MOST_WORKSPACES) {
+            if (size > MAX_WORKSPACES) {
                 return Either.left("too many workspaces: " + size);
             }
             Map<String, Long> units = new HashMap<>();
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/WaitingExchanges.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/WaitingExchanges.java
@@ -11,20 +11,21 @@
 import org.onyxhinge.wire.MonotonicClock;
 
 /**
- * Exchanges whose calls wait for room at a target. They are looked at when something has changed, and by a timer that
- * runs only while any wait: an idle router that has just started is short of the processor time that a timer takes.
+ * Exchanges whose calls wait for a slot at a target. They are reconsidered when something has changed, and by a timer
+ * that runs only while there are any: a router that is idle after its start has too little processor time for an
+ * unnecessary timer.
  */
 final class WaitingExchanges {
 
-    /** For their time to be refused; room wakes them sooner. */
+    /** Interval for refusing calls that have waited too long; free slots trigger an earlier check. */
     private static final long PUMP_MS = 10;
 
     private final Vertx vertx;
     private final Context context;
     private final Placement placement;
     private final Map<Call, Exchange> waiting = new IdentityHashMap<>();
-    private boolean pumping;
-    private boolean timed;
+    private boolean pumpScheduled;
+    private boolean timerRunning;
 
     WaitingExchanges(Vertx vertx, Context context, Placement placement) {
         this.vertx = vertx;
@@ -32,13 +33,13 @@
         this.placement = placement;
     }
 
-    /** Takes a call in that waits. It is looked at soon: a slot that is free may suit it and none before it. */
+    /** Adds a waiting call. It is reconsidered soon, since a free slot may suit it but none of the calls before it. */
     void add(Call call, Exchange exchange) {
         waiting.put(call, exchange);
         pumpSoon();
-        if (!timed) {
-            timed = true;
-            vertx.setTimer(PUMP_MS, t -> timer());
+        if (!timerRunning) {
+            timerRunning = true;
+            vertx.setTimer(PUMP_MS, t -> onTimer());
         }
     }
 
@@ -46,20 +47,20 @@
         waiting.remove(call);
     }
 
-    private void timer() {
+    private void onTimer() {
         pump();
-        timed = !waiting.isEmpty();
-        if (timed) {
-            vertx.setTimer(PUMP_MS, t -> timer());
+        timerRunning = !waiting.isEmpty();
+        if (timerRunning) {
+            vertx.setTimer(PUMP_MS, t -> onTimer());
         }
     }
 
-    /** Looks for room once the current event has been handled. */
+    /** Looks for free slots once the current event has been handled. */
     void pumpSoon() {
-        if (!pumping && placement.wantsPump(MonotonicClock.nowMs())) {
-            pumping = true;
+        if (!pumpScheduled && placement.wantsPump(MonotonicClock.nowMs())) {
+            pumpScheduled = true;
             context.runOnContext(v -> {
-                pumping = false;
+                pumpScheduled = false;
                 pump();
             });
         }
@@ -69,7 +70,7 @@
         for (Verdict verdict : placement.pump(MonotonicClock.nowMs())) {
             Exchange x = waiting.get(verdict.call());
             if (x != null) {
-                x.verdict(verdict);
+                x.onVerdict(verdict);
             }
         }
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/WorkspaceQuotas.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/WorkspaceQuotas.java
@@ -13,20 +13,23 @@
 import org.onyxhinge.core.route.WorkspaceAccess;
 import org.onyxhinge.wire.peer.PeerMessage;
 
-/** The quota of each limited workspace, as the configuration in force sets it. */
+/** The quota of each limited workspace, as set by the active configuration. */
 final class WorkspaceQuotas {
 
     private static final Logger LOG = Logger.getLogger(WorkspaceQuotas.class);
 
-    /** Half of what operators tolerate covers what routers do not see of each other at any time; this is the rest. */
-    private static final double TOLERANCE_PART = 0.5;
+    /**
+     * Half of the tolerance covers the usage that routers have not reported to each other yet at any time; this is the
+     * remaining share.
+     */
+    private static final double RESTART_TOLERANCE_SHARE = 0.5;
 
     private static final double MS_PER_SECOND = 1_000;
 
     private final Map<String, SharedQuota> quotas = new HashMap<>();
     private final Map<String, Limit> limits = new HashMap<>();
-    /** Which of its starts each router that was heard is in. */
-    private final Map<String, Long> lives = new HashMap<>();
+    /** The start id ({@code life}) last reported by each router. */
+    private final Map<String, Long> startIdByRouter = new HashMap<>();
 
     private final ForwardingSettings settings;
     private final long windowMs;
@@ -42,33 +45,33 @@
         this.startedAtMs = nowMs;
     }
 
-    /** Sets the part of the routers there should be that is heard. */
+    /** Sets the fraction of the expected routers that messages arrive from. */
     void heardPart(double part) {
         heardPart = part;
     }
 
     /**
-     * A call that its workspace's quota does not allow now.
+     * Refusal of a call by its workspace's quota.
      *
-     * @param units what it counts
-     * @param waitMs how long until it will probably be allowed
-     * @param state what decided
+     * @param units units that the call counts
+     * @param waitMs expected time until the call would be allowed
+     * @param state quota state that led to the refusal
      */
     record Exceeded(long units, long waitMs, QuotaState state) {}
 
-    /** A workspace as the configuration {@code version} sets it. */
+    /** A workspace as set by configuration {@code version}. */
     private record Limit(long version, WorkspaceAccess workspace) {}
 
-    /** Takes a call's units from its workspace's quota, if it has one; empty when it may go. */
+    /** Charges a call's units to its workspace's quota, if it has one; empty if the call may proceed. */
     Optional<Exceeded> take(CallPlan plan, long nowMs) {
         return plan.workspace()
-                .map(w -> newest(plan.config().version(), w))
+                .map(w -> newestLimits(plan.config().version(), w))
                 .flatMap(
                         w -> take(w, w.units(plan.head().tokens()), plan.route().priority(), nowMs));
     }
 
-    /** The workspace by the newest configuration that any call so far was checked by. */
-    private WorkspaceAccess newest(long version, WorkspaceAccess workspace) {
+    /** The workspace as set by the newest configuration that any call so far was checked against. */
+    private WorkspaceAccess newestLimits(long version, WorkspaceAccess workspace) {
         return limits.merge(
                         workspace.name(),
                         new Limit(version, workspace),
@@ -91,19 +94,22 @@
     private SharedQuota create(WorkspaceAccess workspace, long nowMs) {
         SharedQuota quota = SharedQuota.create(
                 workspace.quotaPerSecond(), workspace.quotaBurst(), windowMs, pastUse(workspace, nowMs), nowMs);
-        // Those that were heard would have said so, had they let anything through.
-        lives.forEach(quota::unusedBy);
+        // Routers that were heard from have reported no usage of this workspace, so they have not let anything through.
+        startIdByRouter.forEach(quota::unusedBy);
         return quota;
     }
 
-    /** What was used before a restart is unknown for the first window of a router's life, but for what is on record. */
+    /**
+     * Usage before a restart is unknown during the first window after the start, except for what the stored record
+     * says.
+     */
     private PastUse pastUse(WorkspaceAccess workspace, long nowMs) {
         if (nowMs - startedAtMs >= windowMs) {
             return new PastUse.None();
         }
         return record.map(r ->
                         PastUse.recorded(r.units(workspace.name()), recordAgeMs, nowMs - startedAtMs, windowMs, (long)
-                                (TOLERANCE_PART * tolerance(workspace))))
+                                (RESTART_TOLERANCE_SHARE * tolerance(workspace))))
                 .orElseGet(PastUse.Unknown::new);
     }
 
@@ -112,16 +118,18 @@
         return limit * settings.quotaToleranceRatio() + settings.quotaToleranceUnits();
     }
 
-    /** True until a record was found, or calls were counted without one: later records say no more than peers do. */
-    boolean wantsRecord() {
+    /**
+     * True until a record was restored, or calls were counted without one: later records say no more than the peers do.
+     */
+    boolean needsRecord() {
         return record.isEmpty() && quotas.isEmpty();
     }
 
-    /** Takes in what was on record when this router started. */
-    void recorded(UsageRecord used) {
+    /** Applies the record that was found when this router started. */
+    void restore(UsageRecord used) {
         long ageMs = startedAtEpochMs - used.asOfMs();
         boolean plausible = !(PastUse.recorded(0, ageMs, 0, windowMs, 0) instanceof PastUse.Unknown);
-        if (wantsRecord() && plausible) {
+        if (needsRecord() && plausible) {
             record = Optional.of(used);
             recordAgeMs = ageMs;
             LOG.infof(
@@ -130,19 +138,19 @@
         }
     }
 
-    /** How old the record was that this router found at its start; -1 when it found none. */
+    /** Age of the record at the start of this router; -1 if it found none. */
     long recordAgeMs() {
         return record.isPresent() ? Math.max(0, recordAgeMs) : -1;
     }
 
-    /** What all routers have used in the window, for the record. */
+    /** Usage of all routers in the window, for the record. */
     Map<String, Long> usedInWindow(long nowMs) {
         Map<String, Long> out = new HashMap<>();
         quotas.forEach((name, q) -> out.put(name, q.usedInWindow(nowMs)));
         return out;
     }
 
-    /** Gives back what a call took that never ran. */
+    /** Refunds the units of a call that was never executed. */
     void giveBack(CallPlan plan, long nowMs) {
         plan.workspace().filter(WorkspaceAccess::limited).ifPresent(w -> {
             SharedQuota quota = quotas.get(w.name());
@@ -152,22 +160,22 @@
         });
     }
 
-    /** What has been let through since the start, by workspace. */
+    /** Units let through here since the start, by workspace. */
     Map<String, Long> totals() {
         Map<String, Long> out = new HashMap<>();
         quotas.forEach((name, q) -> out.put(name, q.ownTotal()));
         return out;
     }
 
-    /** What all routers let through in the window, by workspace, as far as it is known here. */
+    /** Units that all routers let through in the window, by workspace, as far as known here. */
     Map<String, Long> knownWindows(long nowMs) {
         Map<String, Long> out = new HashMap<>();
         quotas.forEach((name, q) -> q.knownWindow(nowMs).ifPresent(units -> out.put(name, units)));
         return out;
     }
 
-    /** Takes another router's use into account; a workspace not yet asked for here is taken in with it. */
-    void heard(PeerMessage.Usage usage, Function<String, Optional<WorkspaceAccess>> workspaces, long nowMs) {
+    /** Adds another router's usage; creates quotas for workspaces that have not been used here yet. */
+    void recordPeerUsage(PeerMessage.Usage usage, Function<String, Optional<WorkspaceAccess>> workspaces, long nowMs) {
         usage.totals().forEach((name, total) -> {
             SharedQuota quota = quotas.get(name);
             if (quota == null) {
@@ -182,6 +190,6 @@
             OptionalLong known = window == null ? OptionalLong.empty() : OptionalLong.of(window);
             quota.heard(usage.routerId(), usage.life(), total, known, nowMs);
         });
-        lives.put(usage.routerId(), usage.life());
+        startIdByRouter.put(usage.routerId(), usage.life());
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/ForwardingFile.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/ForwardingFile.java
@@ -46,8 +46,8 @@
     /**
      * Reads a file.
      *
-     * @param version number of this reading; a later one replaces what earlier ones said
-     * @return on the left, every bad or unknown key
+     * @param version number of this reading; a higher version replaces what earlier ones set
+     * @return on the left, every invalid or unknown key
      */
     public static Either<SettingsException, ForwardingSetup> read(Settings file, long version) {
         return new ForwardingFile(file, version).read();
@@ -73,7 +73,7 @@
                     case "target" -> targets.add(target(section, name));
                     case "peer" -> peers.put(name, peer(section));
                     case "router", "limits", "retries" -> {
-                        // Read above.
+                        // Read before the loop.
                     }
                     default -> file.problem(section, "-", "unknown section");
                 }
@@ -153,10 +153,10 @@
         return CallKind.NON_IDEMPOTENT;
     }
 
-    /** {@code writers} or, with weights, {@code writers:9, writers-next:1}. */
+    /** Parses {@code writers} or, with weights, {@code writers:9, writers-next:1}. */
     private List<ServiceShare> shares(String section) {
         List<ServiceShare> out = new ArrayList<>();
-        for (String part : words(section, "services")) {
+        for (String part : commaSeparated(section, "services")) {
             String[] pair = part.split(":", 2);
             out.add(new ServiceShare(pair[0].trim(), pair.length == 1 ? 1 : weight(section, pair[1])));
         }
@@ -183,7 +183,7 @@
         long rank = file.number(section, "rank", -1, 0, 999);
         return new WorkspaceAccess(
                 name,
-                Set.copyOf(words(section, "api_keys")),
+                Set.copyOf(commaSeparated(section, "api_keys")),
                 rank < 0 ? OptionalInt.empty() : OptionalInt.of((int) rank),
                 file.flag(section, "quota_in_tokens", false) ? QuotaUnit.TOKENS : QuotaUnit.REQUESTS,
                 file.number(section, "tokens_of_plain_calls", 0, 0, MAX_UNITS),
@@ -210,7 +210,7 @@
         return new ForwardingSetup.Router(at.host() + ":" + at.port(), file.text(section, "data_centre", ""));
     }
 
-    private List<String> words(String section, String key) {
+    private List<String> commaSeparated(String section, String key) {
         String text = file.text(section, key);
         return text == null
                 ? List.of()
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/ForwardingNode.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/ForwardingNode.java
@@ -12,21 +12,21 @@
 import org.onyxhinge.router.forward.Freshness;
 import org.onyxhinge.runtime.StatusEndpoints;
 
-/** A forwarding router that takes its routes and targets from a file and reads it again when told to. */
+/** A forwarding router that takes its routes and targets from a file, which can be reloaded. */
 public final class ForwardingNode implements AutoCloseable {
 
     private static final Logger LOG = Logger.getLogger(ForwardingNode.class);
 
     private final Vertx vertx;
     private final Forwarder forwarder;
-    private ForwardingSetup inForce;
+    private ForwardingSetup current;
 
     private ForwardingNode(Vertx vertx, Forwarder forwarder) {
         this.vertx = vertx;
         this.forwarder = forwarder;
     }
 
-    /** Starts a router; completes once it takes calls. */
+    /** Starts a router; completes once it accepts calls. */
     public static Future<ForwardingNode> start(Vertx vertx, ForwardingSetup setup) {
         MetricRegistry metrics = new MetricRegistry();
         return Forwarder.start(vertx, setup.settings(), new OnyxCallProtocol(), Freshness.within(0), metrics)
@@ -45,25 +45,25 @@
                 });
     }
 
-    /** Puts what a file says in force, in place of what was said before. Addresses of the router itself stay. */
+    /** Applies the contents of a file in place of the previous ones. The router's own addresses do not change. */
     public synchronized void apply(ForwardingSetup newer) {
         Map<String, Target> targets = newer.targets().stream().collect(Collectors.toMap(Target::id, t -> t));
-        if (inForce != null) {
-            inForce.targets().stream()
+        if (current != null) {
+            current.targets().stream()
                     .map(Target::id)
                     .filter(id -> !targets.containsKey(id))
                     .forEach(forwarder.targets()::gone);
-            inForce.routers().keySet().stream()
+            current.routers().keySet().stream()
                     .filter(id -> !newer.routers().containsKey(id))
                     .forEach(forwarder::routerGone);
         }
         targets.values().forEach(forwarder.targets()::seen);
         newer.routers().forEach((id, router) -> forwarder.routerSeen(id, router.address(), router.dataCentre()));
         forwarder.configure(newer.config());
-        inForce = newer;
+        current = newer;
     }
 
-    /** Planned stop: completes when no call is in progress, or the time for it is over. */
+    /** Shuts down gracefully: completes when no call is in progress or the grace period is over. */
     public Future<Void> drain() {
         return forwarder.drain();
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/ForwardingSetup.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/ForwardingSetup.java
@@ -9,10 +9,10 @@
 import org.onyxhinge.runtime.HostPort;
 
 /**
- * All that a file says of a forwarding router.
+ * The contents of a forwarding router's file.
  *
- * @param settings what it needs at its start
- * @param status address of its status paths
+ * @param settings startup settings
+ * @param status address of the status endpoints
  * @param config routes, services, workspaces and limits
  * @param targets targets of the services
  * @param routers the other routers, by id
@@ -28,7 +28,7 @@
      * Another router.
      *
      * @param address HOST:PORT
-     * @param dataCentre its data centre; empty where the file does not say
+     * @param dataCentre its data centre; empty if not given
      */
     record Router(String address, String dataCentre) {}
 }
