--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/OnyxCallProtocol.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/OnyxCallProtocol.java
@@ -15,8 +15,8 @@
 import org.onyxhinge.router.forward.OutgoingCall;
 
 /**
- * The product's own header names. Every header of a caller is optional; targets need know none of them, but one
- * that says that it did not run a call is not taken for one that did.
+ * The product's own header names. All headers of a caller are optional. Targets need not know any of them, but a
+ * response stating that the call was not run is never treated as an execution.
  */
 public final class OnyxCallProtocol implements CallProtocol {
 
@@ -29,17 +29,17 @@
     static final String WORKSPACE = "X-Onyx-Workspace";
     static final String TARGET = "X-Onyx-Target";
     static final String NOT_RUN = "X-Onyx-Not-Run";
-    /** Requests a second that the target takes from all routers together, as long as its answers say so. */
+    /** Requests per second that the target accepts from all routers together, for as long as its responses say so. */
     static final String RATE_LIMIT = "X-Onyx-Rate-Limit";
 
     private static final String LAST_EVENT_ID = "Last-Event-ID";
 
-    /** For callers that name no deadline; their route's timeout is usually shorter. */
+    /** For callers that give no deadline; their route's timeout is usually shorter. */
     private static final long DEFAULT_DEADLINE_MS = 60_000;
 
     private static final int MISDIRECTED = 421;
 
-    /** The key must not reach a target; the others are the router's to set. */
+    /** The key must not reach a target; the other headers are reserved for the router. */
     private static final Set<String> DROPPED = Set.of(
             "x-onyx-key",
             "x-onyx-workspace",
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/package-info.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/package-info.java
@@ -1,2 +1,4 @@
-/** A forwarding router that is set up by one INI file, for sites without a platform that feeds it. */
+/**
+ * A forwarding router configured by a single INI file, for sites without a platform that supplies its configuration.
+ */
 package org.onyxhinge.router.forward.file;
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/package-info.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Transparent forwarding: calls by host and path to the targets of a service, unchanged, with API keys,
- * quotas, deadlines, retries and streams that go on at another target. What the fields of a call are
- * named on the wire is a {@link org.onyxhinge.router.forward.CallProtocol}'s to know.
+ * Transparent forwarding: routes calls unchanged, by host and path, to the targets of a service, with API keys, quotas,
+ * deadlines, retries, and streams that continue at another target. The wire names of a call's fields are defined by a
+ * {@link org.onyxhinge.router.forward.CallProtocol}.
  */
 package org.onyxhinge.router.forward;
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/ConfigInForceTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/ActiveConfigTest.java
@@ -11,10 +11,10 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
-class ConfigInForceTest {
+class ActiveConfigTest {
 
     private final Freshness freshness = Freshness.within(5_000);
-    private final ConfigInForce config = new ConfigInForce(freshness);
+    private final ActiveConfig config = new ActiveConfig(freshness);
 
     private static ForwardingConfig version(long version) {
         return ForwardingConfig.of(version, new EdgeLimits(1, 1, 1, 1), List.of(), List.of(), List.of());
@@ -24,49 +24,49 @@
     class Keys {
 
         @Test
-        void areNotBelievedBeforeTheStoreHasConfirmedThem() {
+        void areNotTrustedBeforeFirstConfirmation() {
             config.confirmed(freshness.stampMs());
-            assertThat(config.keysBelieved(), is(false));
+            assertThat(config.keysTrusted(), is(false));
             config.replace(version(1));
-            assertThat(config.keysBelieved(), is(false));
+            assertThat(config.keysTrusted(), is(false));
             config.confirmed(freshness.stampMs());
-            assertThat(config.keysBelieved(), is(true));
+            assertThat(config.keysTrusted(), is(true));
         }
 
         @Test
-        void areNotBelievedAfterAnOldProof() {
+        void areNotTrustedAfterConfirmationExpires() {
             config.replace(version(1));
             config.confirmed(freshness.stampMs() - 3_600);
-            assertThat(config.keysBelieved(), is(false));
+            assertThat(config.keysTrusted(), is(false));
         }
 
         @Test
-        void areBelievedWithoutAProofWhereNoLimitIsSet() {
-            ConfigInForce unlimited = new ConfigInForce(Freshness.within(0));
+        void areTrustedWithoutConfirmationWhenUnlimited() {
+            ActiveConfig unlimited = new ActiveConfig(Freshness.within(0));
             unlimited.replace(version(1));
-            assertThat(unlimited.keysBelieved(), is(true));
+            assertThat(unlimited.keysTrusted(), is(true));
         }
 
         @Test
-        void areStillBelievedByTheLastProofWhenANewerConfigurationComes() {
+        void stayTrustedWhenConfigurationIsReplaced() {
             config.replace(version(1));
             config.confirmed(freshness.stampMs());
             config.replace(version(2));
-            assertThat(config.keysBelieved(), is(true));
+            assertThat(config.keysTrusted(), is(true));
             assertThat(config.version(), is(2L));
         }
     }
 
     @Nested
-    class Proof {
+    class Confirmation {
 
         private static final long VERSIONS = 2_000;
 
-        /** Guards against a configuration that is read together with the confirmation of a newer one. */
+        /** Guards against reading a configuration together with the confirmation of a newer one. */
         @Test
-        void isNeverOfANewerConfigurationThanTheOneItIsReadWith() {
+        void isNeverNewerThanTheConfigurationReadWithIt() {
             config.replace(version(0));
-            // Version and time count alike, so a configuration's confirmation is never above its version.
+            // Versions and times increase together, so a configuration's confirmation time never exceeds its version.
             Thread reader = new Thread(() -> {
                 for (long v = 1; v <= VERSIONS; v++) {
                     config.replace(version(v));
@@ -83,11 +83,11 @@
         }
 
         @Test
-        void doesNotGrowOlderWithALateAnswer() {
+        void isNotMovedBackByALateResponse() {
             config.replace(version(1));
             config.confirmed(freshness.stampMs());
             config.confirmed(freshness.stampMs() - 60_000);
-            assertThat(config.keysBelieved(), is(true));
+            assertThat(config.keysTrusted(), is(true));
         }
     }
 }
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/Conditions.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/Conditions.java
@@ -3,17 +3,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** Waits for what other threads bring about, for tests. */
+/** Waits in tests for conditions that other threads bring about. */
 public final class Conditions {
 
     private Conditions() {}
 
-    /** Returns once {@code condition} holds; throws {@link AssertionError} when it does not in time. */
+    /** Returns once {@code condition} holds; throws {@link AssertionError} if it does not within the timeout. */
     public static void await(BooleanSupplier condition, long timeoutMs) {
         long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > endNs) {
-                throw new AssertionError("not within " + timeoutMs + " ms");
+                throw new AssertionError("condition not met within " + timeoutMs + " ms");
             }
             Thread.onSpinWait();
         }
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/EventSplitterProperties.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/EventSplitterProperties.java
@@ -15,9 +15,9 @@
 class EventSplitterProperties {
 
     @Property(tries = 300, seed = "23")
-    void eventsComeOutWholeHoweverTheirBytesArrive(
+    void eventsStayCompleteForAnyChunking(
             @ForAll @IntRange(min = 0, max = 12) int events,
-            @ForAll @IntRange(min = 1, max = 9) int most,
+            @ForAll @IntRange(min = 1, max = 9) int maxChunk,
             @ForAll boolean crlf,
             @ForAll long seed) {
         String eol = crlf ? "\r\n" : "\n";
@@ -26,25 +26,25 @@
             text.append("id: ").append(i).append(eol).append("data: token ").append(i);
             text.append(eol).append(eol);
         }
-        String cut = "id: 99" + eol + "data: to";
-        byte[] all = (text + cut).getBytes();
+        String incomplete = "id: 99" + eol + "data: to";
+        byte[] all = (text + incomplete).getBytes();
         EventSplitter splitter = new EventSplitter();
         Random random = new Random(seed);
         StringBuilder out = new StringBuilder();
         for (int at = 0; at < all.length; ) {
-            int n = Math.min(all.length - at, 1 + random.nextInt(most));
-            Optional<Buffer> whole = splitter.feed(Buffer.buffer(java.util.Arrays.copyOfRange(all, at, at + n)));
-            whole.ifPresent(b -> out.append(b));
+            int n = Math.min(all.length - at, 1 + random.nextInt(maxChunk));
+            Optional<Buffer> complete = splitter.feed(Buffer.buffer(java.util.Arrays.copyOfRange(all, at, at + n)));
+            complete.ifPresent(b -> out.append(b));
             at += n;
         }
         assertThat(out.toString(), is(text.toString()));
         assertThat(splitter.events(), is(events));
         assertThat(splitter.lastId(), is(events == 0 ? Optional.empty() : Optional.of("" + events)));
-        assertThat(splitter.rest().toString(), is(cut));
+        assertThat(splitter.partial().toString(), is(incomplete));
     }
 
     @Test
-    void anEventMayHaveOtherLinesBeforeItsId() {
+    void readsIdAfterOtherFields() {
         EventSplitter splitter = new EventSplitter();
         splitter.feed(Buffer.buffer("x-weight-versions: 3\nid:7\ndata: a\n\n: comment\n\n"));
         assertThat(splitter.lastId(), is(Optional.of("7")));
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/HopHeadersTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/HopHeadersTest.java
@@ -13,7 +13,7 @@
 class HopHeadersTest {
 
     @Test
-    void headersOfOneConnectionAndThoseItListsStayBehind() {
+    void dropsHopByHopHeadersAndThoseListedInConnection() {
         MultiMap from = MultiMap.caseInsensitiveMultiMap()
                 .add("Connection", "close, X-Private")
                 .add("X-Private", "1")
@@ -33,13 +33,13 @@
     class IdleTime {
 
         @Test
-        void isWhatTheTargetNamesLessAMargin() {
+        void isTargetTimeoutMinusMargin() {
             assertThat(TargetConnections.idleMs("timeout=5, max=100"), is(4_600L));
             assertThat(TargetConnections.idleMs("max=100, Timeout = 2"), is(1_600L));
         }
 
         @Test
-        void isShortWhereNoneIsNamed() {
+        void hasDefaultWhenTargetNamesNone() {
             assertThat(TargetConnections.idleMs(null), is(500L));
             assertThat(TargetConnections.idleMs("timeout=soon"), is(500L));
         }
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/QuarantineRecordTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/QuarantineRecordTest.java
@@ -19,24 +19,24 @@
     }
 
     @Property(tries = 100, seed = "33")
-    void whatWasWrittenIsRead(@ForAll long high, @ForAll String incarnation, @ForAll long atEpochMs) {
+    void roundTrips(@ForAll long high, @ForAll String incarnation, @ForAll long atEpochMs) {
         QuarantineRecord record = record(high, incarnation, atEpochMs);
         assertThat(QuarantineRecord.decode(record.encode()).get(), is(record));
     }
 
     @Property(tries = 300, seed = "34")
-    void otherBytesAreNoRecordAndDoNoHarm(@ForAll byte[] bytes) {
+    void decodesArbitraryBytesSafely(@ForAll byte[] bytes) {
         QuarantineRecord.decode(bytes).peek(r -> assertThat(r.entries().size() <= bytes.length, is(true)));
     }
 
     @Test
-    void aWriterWhoseClockIsAheadTellsOfNoCrashInTheFuture() {
+    void futureCrashTimesAreClampedToNow() {
         QuarantineRecord ahead = record(1, "a", System.currentTimeMillis() + 60_000);
         assertThat(ahead.crashes(500).getFirst().atMs(), is(500L));
     }
 
     @Test
-    void aRecordCoversTheCrashesThatItHoldsWhateverTheirTimes() {
+    void coversIgnoresCrashTimes() {
         QuarantineRecord one = QuarantineRecord.of(List.of(new Crash(new RequestFingerprint(1, 2), "a", 0)), 0);
         assertThat(record(1, "a", 7).covers(one), is(true));
         assertThat(record(1, "b", 7).covers(one), is(false));
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/RouterPeersTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/RouterPeersTest.java
@@ -29,34 +29,34 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
 
-/** Routers on loopback that tell each other what they use. */
+/** State exchange between routers on loopback. */
 class RouterPeersTest {
 
     private static final long TIMEOUT_MS = 10_000;
 
     private final Vertx vertx = Vertx.vertx();
 
-    private final class Router implements RouterPeers.Side {
+    private final class Router implements RouterPeers.Delegate {
         private final int port = Ports.free();
         private final String id;
         private final Map<String, TargetUse> uses = new ConcurrentHashMap<>();
         private final Map<String, Long> totals = new ConcurrentHashMap<>();
         private final Map<String, Map<Integer, Integer>> waiting = new ConcurrentHashMap<>();
-        private final Map<String, PeerMessage.Usage> heard = new ConcurrentHashMap<>();
+        private final Map<String, PeerMessage.Usage> usages = new ConcurrentHashMap<>();
         private final Set<String> reserved = ConcurrentHashMap.newKeySet();
         private final Set<String> borrowed = ConcurrentHashMap.newKeySet();
         private final Map<String, String> joined = new ConcurrentHashMap<>();
-        private final AtomicReference<SlotRequest> request = new AtomicReference<>();
-        private final AtomicReference<PeerMessage.SlotsWanted> asked = new AtomicReference<>();
+        private final AtomicReference<SlotRequest> slotRequest = new AtomicReference<>();
+        private final AtomicReference<PeerMessage.SlotsWanted> slotsWanted = new AtomicReference<>();
         private final Set<PeerMessage.CrashedAgo> crashes = ConcurrentHashMap.newKeySet();
-        private final Set<PeerMessage.CrashedAgo> crashesHeard = ConcurrentHashMap.newKeySet();
+        private final Set<PeerMessage.CrashedAgo> receivedCrashes = ConcurrentHashMap.newKeySet();
         private final Set<PeerMessage.LimitedAgo> limits = ConcurrentHashMap.newKeySet();
-        private final Set<PeerMessage.LimitedAgo> limitsHeard = ConcurrentHashMap.newKeySet();
-        private final Set<RequestFingerprint> cleared = ConcurrentHashMap.newKeySet();
+        private final Set<PeerMessage.LimitedAgo> receivedLimits = ConcurrentHashMap.newKeySet();
+        private final Set<RequestFingerprint> answeredRequests = ConcurrentHashMap.newKeySet();
         private volatile boolean near = true;
-        private final Vertx own = Vertx.vertx();
-        /** The one thread that the peers are used from, as in a router. */
-        private final Context context = own.getOrCreateContext();
+        private final Vertx ownVertx = Vertx.vertx();
+        /** The only thread that uses the peers, as in a router. */
+        private final Context context = ownVertx.getOrCreateContext();
 
         private final RouterPeers peers;
 
@@ -64,7 +64,7 @@
             this.id = id;
             ForwardingSettings settings = new ForwardingSettings(
                     id, "here", "127.0.0.1", 0, "127.0.0.1", port, 0.1, 1, 1_000, 5_000, 8_000, 0.1, 0, 1_000);
-            this.peers = on(() -> RouterPeers.start(own, settings, this));
+            this.peers = runOnContext(() -> RouterPeers.start(ownVertx, settings, this));
         }
 
         @Override
@@ -84,7 +84,7 @@
 
         @Override
         public Optional<SlotRequest> slotsToBorrow() {
-            return Optional.ofNullable(request.getAndSet(null));
+            return Optional.ofNullable(slotRequest.getAndSet(null));
         }
 
         @Override
@@ -98,77 +98,77 @@
         }
 
         @Override
-        public void usageHeard(String routerId, PeerMessage.Usage usage) {
-            heard.put(routerId, usage);
+        public void onUsage(String routerId, PeerMessage.Usage usage) {
+            usages.put(routerId, usage);
         }
 
         @Override
-        public void routerSilent(String routerId) {
-            heard.remove(routerId);
+        public void onRouterSilent(String routerId) {
+            usages.remove(routerId);
         }
 
         @Override
-        public void routerJoined(String routerId, String dataCentre) {
+        public void onRouterJoined(String routerId, String dataCentre) {
             joined.put(routerId, dataCentre);
         }
 
         @Override
-        public void routerLeft(String routerId) {
+        public void onRouterLeft(String routerId) {
             joined.remove(routerId);
         }
 
         @Override
-        public void slotReserved(String targetId) {
+        public void onSlotReserved(String targetId) {
             reserved.add(targetId);
         }
 
         @Override
-        public void slotsWanted(PeerMessage.SlotsWanted wanted) {
-            asked.set(wanted);
+        public void onSlotsWanted(PeerMessage.SlotsWanted wanted) {
+            slotsWanted.set(wanted);
         }
 
         @Override
-        public List<PeerMessage.BetweenRouters> knownToAll() {
+        public List<PeerMessage.BetweenRouters> broadcastState() {
             return List.of(
                     new PeerMessage.Crashes(List.copyOf(crashes)), new PeerMessage.TargetLimits(List.copyOf(limits)));
         }
 
         @Override
-        public void limitsHeard(PeerMessage.TargetLimits message) {
-            limitsHeard.addAll(message.limits());
+        public void onTargetLimits(PeerMessage.TargetLimits message) {
+            receivedLimits.addAll(message.limits());
         }
 
         @Override
-        public void crashesHeard(PeerMessage.Crashes message) {
-            crashesHeard.addAll(message.crashes());
+        public void onCrashes(PeerMessage.Crashes message) {
+            receivedCrashes.addAll(message.crashes());
         }
 
         @Override
-        public void answeredWhole(PeerMessage.AnsweredWhole answered) {
-            cleared.add(answered.request());
+        public void onAnswered(PeerMessage.AnsweredWhole answered) {
+            answeredRequests.add(answered.request());
         }
 
-        /** Runs something on the peers' thread and waits for what comes of it. */
-        private <T> T on(Supplier<Future<T>> action) {
+        /** Runs an action on the peers' thread and waits for its result. */
+        private <T> T runOnContext(Supplier<Future<T>> action) {
             Promise<T> done = Promise.promise();
             context.runOnContext(v -> action.get().onComplete(done));
             return Launch.await(done.future(), TIMEOUT_MS);
         }
 
-        int known() {
-            return on(() -> Future.succeededFuture(peers.known()));
+        int expectedRouters() {
+            return runOnContext(() -> Future.succeededFuture(peers.expectedRouters()));
         }
 
         double heardPart() {
-            return on(() -> Future.succeededFuture(peers.heardPart()));
+            return runOnContext(() -> Future.succeededFuture(peers.heardPart()));
         }
 
-        void knows(Router other) {
+        void registerPeer(Router other) {
             context.runOnContext(v -> peers.registered(other.id, "127.0.0.1:" + other.port, "here"));
         }
 
         void stop() {
-            Launch.await(own.close(), TIMEOUT_MS);
+            Launch.await(ownVertx.close(), TIMEOUT_MS);
         }
     }
 
@@ -182,154 +182,160 @@
     }
 
     @Test
-    void changesArriveAndWhatEndsIsCleared() {
+    void sendsChangesAndClearsEndedUses() {
         Router a = new Router("a");
         Router b = new Router("b");
-        a.knows(b);
-        b.knows(a);
+        a.registerPeer(b);
+        b.registerPeer(a);
         a.uses.put("t1", new TargetUse(2, 500));
         a.totals.put("w", 70L);
-        await(() -> b.heard.containsKey("a") && b.heard.get("a").uses().containsKey("t1"));
+        await(() -> b.usages.containsKey("a") && b.usages.get("a").uses().containsKey("t1"));
         a.uses.put("t2", new TargetUse(1, 0));
         a.uses.remove("t1");
-        await(() -> b.heard.get("a").uses().equals(Map.of("t2", new TargetUse(1, 0))));
-        assertThat(a.known(), is(2));
+        await(() -> b.usages.get("a").uses().equals(Map.of("t2", new TargetUse(1, 0))));
+        assertThat(a.expectedRouters(), is(2));
         await(() -> a.heardPart() == 1.0);
         a.stop();
         b.stop();
     }
 
     @Test
-    void whatWaitsIsToldAndASlotCanBeReservedForTheOther() {
+    void sendsWaitingCallsAndSlotReservations() {
         Router a = new Router("a");
         Router b = new Router("b");
-        a.knows(b);
-        b.knows(a);
+        a.registerPeer(b);
+        b.registerPeer(a);
         a.waiting.put("writers", Map.of(0, 3));
-        await(() -> b.heard.containsKey("a") && b.heard.get("a").waiting().equals(a.waiting));
+        await(() -> b.usages.containsKey("a") && b.usages.get("a").waiting().equals(a.waiting));
         a.waiting.clear();
-        await(() -> b.heard.get("a").waiting().isEmpty());
-        await(() -> b.heardPart() == 1.0 && a.heard.containsKey("b"));
-        b.context.runOnContext(v -> b.peers.slotReserved("a", "w1"));
+        await(() -> b.usages.get("a").waiting().isEmpty());
+        await(() -> b.heardPart() == 1.0 && a.usages.containsKey("b"));
+        b.context.runOnContext(v -> b.peers.sendSlotReserved("a", "w1"));
         await(() -> a.reserved.contains("w1"));
         a.stop();
         b.stop();
     }
 
-    /** Guards against a request that crashes targets being sent on by a router that was not there when it did. */
+    /** Guards against a router that was not running at the time of a crash forwarding the request that caused it. */
     @Test
-    void crashesAreToldAtOnceAndToARouterThatComesLater() {
+    void broadcastsCrashesAndSendsThemToNewRouters() {
         PeerMessage.CrashedAgo first = new PeerMessage.CrashedAgo(new RequestFingerprint(1, 2), "t1", 10);
         PeerMessage.CrashedAgo second = new PeerMessage.CrashedAgo(new RequestFingerprint(1, 2), "t2", 10);
         Router a = new Router("a");
         Router b = new Router("b");
         a.crashes.add(first);
-        a.knows(b);
-        b.knows(a);
-        await(() -> b.crashesHeard.contains(first));
-        a.context.runOnContext(v -> a.peers.tellAll(new PeerMessage.Crashes(List.of(second))));
-        await(() -> b.crashesHeard.contains(second));
-        a.context.runOnContext(v -> a.peers.tellAll(new PeerMessage.AnsweredWhole(first.request(), 0)));
-        await(() -> b.cleared.contains(first.request()));
+        a.registerPeer(b);
+        b.registerPeer(a);
+        await(() -> b.receivedCrashes.contains(first));
+        a.context.runOnContext(v -> a.peers.broadcast(new PeerMessage.Crashes(List.of(second))));
+        await(() -> b.receivedCrashes.contains(second));
+        a.context.runOnContext(v -> a.peers.broadcast(new PeerMessage.AnsweredWhole(first.request(), 0)));
+        await(() -> b.answeredRequests.contains(first.request()));
         a.stop();
         b.stop();
     }
 
-    /** Guards against a router that goes on at full rate because it was not there when a target named its limit. */
+    /** Guards against a router that starts after a target reported its limit and goes on sending at full rate. */
     @Test
-    void limitsOfTargetsAreToldToARouterThatComesLater() {
+    void sendsTargetLimitsToNewRouters() {
         PeerMessage.LimitedAgo limit = new PeerMessage.LimitedAgo("t1", true, 2.5, 10);
         Router a = new Router("a");
         Router b = new Router("b");
         a.limits.add(limit);
-        a.knows(b);
-        b.knows(a);
-        await(() -> b.limitsHeard.contains(limit));
+        a.registerPeer(b);
+        b.registerPeer(a);
+        await(() -> b.receivedLimits.contains(limit));
         a.stop();
         b.stop();
     }
 
     @Test
-    void aRouterWhoseProcessEndedIsNotTakenForOneThatIsUnheard() {
+    void endedRouterIsNotCountedAsUnheard() {
         Router a = new Router("a");
         Router b = new Router("b");
-        a.knows(b);
-        b.knows(a);
-        await(() -> a.heardPart() == 1.0 && a.heard.containsKey("b"));
+        a.registerPeer(b);
+        b.registerPeer(a);
+        await(() -> a.heardPart() == 1.0 && a.usages.containsKey("b"));
         b.stop();
         long endedNs = System.nanoTime();
-        await(() -> a.known() == 1);
+        await(() -> a.expectedRouters() == 1);
         assertThat(a.heardPart(), is(1.0));
-        await(() -> !a.heard.containsKey("b"));
+        await(() -> !a.usages.containsKey("b"));
         long untilForgottenMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - endedNs);
-        assertThat("sooner than one that is silent", untilForgottenMs < HeardRouters.SILENT_MS, is(true));
+        assertThat("forgotten before the silence limit", untilForgottenMs < PeerUsageTracker.SILENT_MS, is(true));
         a.stop();
     }
 
-    /** 6, 21 and 410 routers: what each sends stays bounded, and in the largest fleet nobody is taken for silent. */
+    /**
+     * 6, 21 and 410 routers: the send rate of each stays bounded, and even in the largest fleet no router counts as
+     * silent.
+     */
     @Test
-    void aLargerFleetSpeaksLessOftenButNeverFallsSilent() {
+    void sendIntervalGrowsWithFleetButStaysBelowSilenceLimit() {
         assertThat(PeerCadence.intervalMs(5, false), is(60L));
         assertThat(PeerCadence.intervalMs(5, true), is(20L));
         assertThat(PeerCadence.intervalMs(20, false), is(240L));
         assertThat(PeerCadence.intervalMs(20, true), is(80L));
-        assertThat(PeerCadence.intervalMs(409, false) * 3 < HeardRouters.SILENT_MS, is(true));
-        assertThat(PeerCadence.intervalMs(409, true) * 3 < HeardRouters.SILENT_MS, is(true));
+        assertThat(PeerCadence.intervalMs(409, false) * 3 < PeerUsageTracker.SILENT_MS, is(true));
+        assertThat(PeerCadence.intervalMs(409, true) * 3 < PeerUsageTracker.SILENT_MS, is(true));
     }
 
-    /** Of another group a router is told at once what it lent, and all else with the next sign of life. */
+    /**
+     * A router of another group is notified at once only of borrowed slots; everything else comes with the next
+     * heartbeat.
+     */
     @Test
-    void aRouterOfAnotherGroupIsToldLessOftenAndCanBeAskedForSlots() {
+    void otherGroupGetsFewerUpdatesAndCanBeAskedForSlots() {
         Router a = new Router("a");
         Router b = new Router("b");
         a.near = false;
         b.near = false;
-        a.knows(b);
-        b.knows(a);
-        await(() -> b.heard.containsKey("a") && a.heard.containsKey("b"));
+        a.registerPeer(b);
+        b.registerPeer(a);
+        await(() -> b.usages.containsKey("a") && a.usages.containsKey("b"));
         assertThat(a.joined.get("b"), is("here"));
-        a.request.set(new SlotRequest("b", "writers", Map.of(2, 7)));
-        await(() -> b.asked.get() != null);
-        assertThat(b.asked.get(), is(new PeerMessage.SlotsWanted("a", "writers", Map.of(2, 7))));
+        a.slotRequest.set(new SlotRequest("b", "writers", Map.of(2, 7)));
+        await(() -> b.slotsWanted.get() != null);
+        assertThat(b.slotsWanted.get(), is(new PeerMessage.SlotsWanted("a", "writers", Map.of(2, 7))));
         a.uses.put("own", new TargetUse(1, 0));
         a.borrowed.add("lent");
         a.uses.put("lent", new TargetUse(1, 0));
-        await(() -> b.heard.get("a").uses().containsKey("lent"));
+        await(() -> b.usages.get("a").uses().containsKey("lent"));
         a.uses.remove("lent");
-        await(() -> b.heard.get("a").uses().equals(Map.of("own", new TargetUse(1, 0))));
+        await(() -> b.usages.get("a").uses().equals(Map.of("own", new TargetUse(1, 0))));
         a.stop();
         b.stop();
     }
 
-    /** All registrations lapse while the store is away, also those of routers that live and hear each other. */
+    /** All registrations lapse while the store is unavailable, including those of live routers that hear each other. */
     @Test
-    void aRouterThatIsHeardHasNotLeftThoughItsRegistrationLapsed() {
+    void liveRouterStaysAfterRegistrationLapses() {
         Router a = new Router("a");
         Router b = new Router("b");
-        a.knows(b);
-        b.knows(a);
-        await(() -> a.heardPart() == 1.0 && a.heard.containsKey("b"));
+        a.registerPeer(b);
+        b.registerPeer(a);
+        await(() -> a.heardPart() == 1.0 && a.usages.containsKey("b"));
         a.context.runOnContext(v -> a.peers.unregistered("b"));
         b.totals.put("w", 1L);
-        await(() -> a.heard.get("b").totals().containsKey("w"));
+        await(() -> a.usages.get("b").totals().containsKey("w"));
         long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(4_000);
-        await(() -> System.nanoTime() > untilNs || a.known() != 2);
-        assertThat(a.known(), is(2));
+        await(() -> System.nanoTime() > untilNs || a.expectedRouters() != 2);
+        assertThat(a.expectedRouters(), is(2));
         b.totals.put("w", 2L);
-        await(() -> a.heard.get("b").totals().getOrDefault("w", 0L) == 2L);
+        await(() -> a.usages.get("b").totals().getOrDefault("w", 0L) == 2L);
         a.stop();
         b.stop();
     }
 
     @Test
-    void aRegistrationThatNamesNoAddressIsNoRouter() {
+    void ignoresRegistrationWithInvalidAddress() {
         Router a = new Router("a");
         Router b = new Router("b");
         a.context.runOnContext(v -> a.peers.registered("other", "nowhere", "here"));
-        a.knows(b);
-        b.knows(a);
-        await(() -> a.heard.containsKey("b"));
-        assertThat(a.known(), is(2));
+        a.registerPeer(b);
+        b.registerPeer(a);
+        await(() -> a.usages.containsKey("b"));
+        assertThat(a.expectedRouters(), is(2));
         a.stop();
         b.stop();
     }
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/UsageRecordTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/UsageRecordTest.java
@@ -11,13 +11,13 @@
 class UsageRecordTest {
 
     @Property(tries = 100, seed = "31")
-    void whatWasWrittenIsRead(@ForAll long asOfMs, @ForAll Map<String, Long> units) {
+    void roundTrips(@ForAll long asOfMs, @ForAll Map<String, Long> units) {
         UsageRecord record = new UsageRecord(asOfMs, units);
         assertThat(UsageRecord.decode(record.encode()).get(), is(record));
     }
 
     @Property(tries = 300, seed = "32")
-    void otherBytesAreNoRecordAndDoNoHarm(@ForAll byte[] bytes) {
+    void decodesArbitraryBytesSafely(@ForAll byte[] bytes) {
         UsageRecord.decode(bytes).peek(r -> assertThat(r.unitsByWorkspace().size() <= bytes.length, is(true)));
     }
 }
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/WorkspaceQuotasTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/WorkspaceQuotasTest.java
@@ -24,13 +24,13 @@
 
     private static final long WINDOW_MS = 8_000;
 
-    /** After the first window, in which what was used before the start is unknown. */
+    /** After the first window, in which usage before the start is unknown. */
     private static final long NOW_MS = 2 * WINDOW_MS;
 
     private final WorkspaceQuotas quotas =
             new WorkspaceQuotas(new ForwardingSettings("r1", "here", "", 0, "", 0, 0, 0, 0, 0, WINDOW_MS, 0, 0, 0), 0);
 
-    /** A call that was checked by a configuration which gives its workspace {@code perSecond} calls a second. */
+    /** A call checked against a configuration that allows its workspace {@code perSecond} calls per second. */
     private static CallPlan call(long version, double perSecond) {
         WorkspaceAccess workspace = new WorkspaceAccess(
                 "agency", Set.of("k1"), OptionalInt.empty(), QuotaUnit.REQUESTS, 0, perSecond, perSecond);
@@ -57,7 +57,7 @@
         return CallPlan.of(new CallCheck.Allowed(head, config, route, Optional.of(workspace)), NOW_MS, 0);
     }
 
-    /** How many of a thousand calls may go. */
+    /** Number of calls out of 1000 that are allowed. */
     private int allowed(CallPlan call, long nowMs) {
         int allowed = 0;
         for (int i = 0; i < 1_000; i++) {
@@ -66,9 +66,9 @@
         return allowed;
     }
 
-    /** Guards against a limit of an older configuration coming back with a call that waited while a newer one came. */
+    /** Guards against an older configuration's limit being restored by a call that waited while a newer one arrived. */
     @Test
-    void aCallCheckedByAnOlderConfigurationDoesNotBringItsLimitBack() {
+    void olderConfigurationDoesNotRestoreItsLimit() {
         int mostInWindow = 10 * (int) (WINDOW_MS / 1_000) + 10;
         int allowed = allowed(call(2, 10), NOW_MS) + allowed(call(1, 1_000), NOW_MS + 1_000);
         assertThat(allowed, is(lessThanOrEqualTo(mostInWindow)));
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/file/ForwardingNodeTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/file/ForwardingNodeTest.java
@@ -27,7 +27,7 @@
 import static org.hamcrest.Matchers.nullValue;
 import static org.hamcrest.Matchers.startsWith;
 
-/** The forwarding router set up by a file, between plain HTTP servers on loopback. */
+/** A forwarding router set up from a file, with plain HTTP servers on loopback as targets. */
 class ForwardingNodeTest {
 
     private static final long TIMEOUT_MS = 20_000;
@@ -55,7 +55,7 @@
     }
 
     private String file(int printPort, String more) {
-        return SmallSite.text(port, printPort, "max_header_bytes = 2048", more);
+        return SingleTargetConfig.text(port, printPort, "max_header_bytes = 2048", more);
     }
 
     private static Either<SettingsException, ForwardingSetup> read(String text, long version) {
@@ -100,7 +100,7 @@
     class Forwarding {
 
         @Test
-        void aCallGoesToItsRoutesServiceWithItsWorkspaceAndWithoutItsKey() {
+        void forwardsToRouteServiceWithWorkspaceAndWithoutApiKey() {
             start(file(server("m1"), ""));
             Answer a = post("/print/7?copies=2", "k1", "X-Onyx-Workspace", "forged", "X-Other", "kept");
             assertThat(a.body(), is("m1 /print/7?copies=2"));
@@ -112,7 +112,7 @@
         }
 
         @Test
-        void whatTheFileDoesNotAllowIsToldSoAndRunsNowhere() {
+        void refusesInvalidCallsWithoutForwardingThem() {
             start(file(server("m1"), ""));
             assertThat(post("/other/7", "k1").status(), is(404));
             assertThat(post("/print/7", "k2").status(), is(401));
@@ -124,7 +124,7 @@
         }
 
         @Test
-        void aWorkspaceBeyondItsQuotaIsToldWhenToComeBack() {
+        void refusalOverQuotaHasRetryAfter() {
             start(file(server("m1"), "quota_per_second = 1\nquota_burst = 1"));
             int served = 0;
             Answer last = post("/print/1", "k1");
@@ -139,10 +139,10 @@
     }
 
     @Nested
-    class PlannedStop {
+    class GracefulShutdown {
 
         @Test
-        void aCallThatOutlastsTheStopGetsAFinalAnswerFromIt() {
+        void callRunningAtEndOfShutdownGetsFinalResponse() {
             int silent = await(vertx.createHttpServer()
                             .requestHandler(r -> seen.add(r.headers()))
                             .listen(0, "127.0.0.1"))
@@ -160,10 +160,10 @@
     }
 
     @Nested
-    class ReadAgain {
+    class Reload {
 
         @Test
-        void aNewFileIsInForceAsAWhole() {
+        void applyReplacesRoutesAndTargets() {
             ForwardingNode node = start(file(server("m1"), ""));
             assertThat(post("/print/1", "k1").body(), startsWith("m1"));
             String newer =
@@ -175,10 +175,10 @@
     }
 
     @Nested
-    class BadFiles {
+    class InvalidFiles {
 
         @Test
-        void everyBadKeyIsNamed() {
+        void reportsEveryInvalidKey() {
             String text = file(0, "quota_per_secnd = 4") + "[route x]\nkind = stram\n[tarjet t]\n";
             String message = read(text, 1).getLeft().getMessage();
             assertThat(message, containsString("[target m1] address"));
@@ -189,13 +189,13 @@
         }
 
         @Test
-        void aRouteToAnUnknownServiceIsNamed() {
+        void reportsRouteToUnknownService() {
             String text = file(9, "").replace("services = mailroom", "services = mailrom");
             assertThat(read(text, 1).getLeft().getMessage(), containsString("mailrom"));
         }
 
         @Test
-        void theExampleIsWhole() {
+        void exampleFileIsValid() {
             Either<SettingsException, ForwardingSetup> example = Settings.load(
                             java.nio.file.Path.of("..", "examples", "forward.ini"))
                     .flatMap(s -> ForwardingFile.read(s, 1));
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/file/HttpEdgeFuzzTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/file/HttpEdgeFuzzTest.java
@@ -23,8 +23,8 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * Damaged and forged requests on callers' connections: whatever comes, the router lives on, serves the next proper
- * request, and no target ever runs a request that stood inside another one's body or header.
+ * Corrupted and forged requests on callers' connections. The router must survive them and serve the next valid request,
+ * and no target may execute a request embedded in another request's body or headers.
  */
 class HttpEdgeFuzzTest {
 
@@ -35,7 +35,7 @@
 
     private final Vertx vertx = Vertx.vertx();
     private final int port = Ports.free();
-    private final List<String> ran = new CopyOnWriteArrayList<>();
+    private final List<String> executedUris = new CopyOnWriteArrayList<>();
     private ForwardingNode node;
 
     @BeforeEach
@@ -43,14 +43,14 @@
         int target = Launch.await(
                         vertx.createHttpServer()
                                 .requestHandler(r -> r.body().onSuccess(b -> {
-                                    ran.add(r.uri());
+                                    executedUris.add(r.uri());
                                     r.response().end("ok");
                                 }))
                                 .listen(0, "127.0.0.1"),
                         TIMEOUT_MS)
                 .actualPort();
-        String text = SmallSite.text(port, target, "idle_timeout_ms = 1000", "");
-        node = Launch.await(ForwardingNode.start(vertx, SmallSite.read(text)), TIMEOUT_MS);
+        String text = SingleTargetConfig.text(port, target, "idle_timeout_ms = 1000", "");
+        node = Launch.await(ForwardingNode.start(vertx, SingleTargetConfig.read(text)), TIMEOUT_MS);
     }
 
     @AfterEach
@@ -59,14 +59,14 @@
         Launch.await(vertx.close(), TIMEOUT_MS);
     }
 
-    /** Sends bytes and returns what comes back within a moment. */
+    /** Sends bytes and returns what is received within a short time. */
     private String exchange(byte[] bytes) throws IOException {
         return exchange(bytes, 40);
     }
 
-    /** A proper request; returns its answer as soon as it is whole. */
-    private String serve() throws IOException {
-        byte[] good = new String(proper("/print/good", "x"), StandardCharsets.ISO_8859_1)
+    /** Sends a valid request; returns its response as soon as it is complete. */
+    private String sendValid() throws IOException {
+        byte[] good = new String(validRequest("/print/good", "x"), StandardCharsets.ISO_8859_1)
                 .replaceFirst("\r\n", "\r\nConnection: close\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1);
         return exchange(good, (int) TIMEOUT_MS);
@@ -88,27 +88,27 @@
                 out.append((char) b);
             }
         } catch (SocketTimeoutException e) {
-            // The router keeps the connection open: all there is has come.
+            // The router keeps the connection open; everything it sent has been received.
         } catch (IOException e) {
             out.append("[reset]");
         }
         return out.toString();
     }
 
-    private static byte[] proper(String path, String body) {
+    private static byte[] validRequest(String path, String body) {
         return ("POST " + path + " HTTP/1.1\r\nHost: letters.example\r\nX-Onyx-Key: k1\r\nContent-Length: "
                         + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
 
     @Test
-    void damagedRequestsHarmNobodyElse() throws IOException {
+    void corruptedRequestsDoNotAffectOthers() throws IOException {
         Random random = new Random(81);
         for (int i = 0; i < ROUNDS; i++) {
-            byte[] bytes = proper("/print/outer", INNER);
+            byte[] bytes = validRequest("/print/outer", INNER);
             int head = bytes.length - INNER.length();
             for (int n = 1 + random.nextInt(3); n > 0; n--) {
-                // Only the outer head is damaged; its declared length may then cover more or less than the body.
+                // Only the outer head is corrupted; its declared length may then cover more or less than the body.
                 int at = random.nextInt(head - 4);
                 if (Character.isDigit(bytes[at])) {
                     continue;
@@ -117,14 +117,14 @@
             }
             exchange(bytes);
             if (i % 10 == 0) {
-                assertThat("round " + i, serve(), containsString("200 OK"));
+                assertThat("round " + i, sendValid(), containsString("200 OK"));
             }
         }
-        assertThat(ran.stream().filter("/print/good"::equals).count(), is((long) ROUNDS / 10));
+        assertThat(executedUris.stream().filter("/print/good"::equals).count(), is((long) ROUNDS / 10));
     }
 
     @Test
-    void aRequestInsideAnotherOnesBodyIsNeverRun() throws IOException {
+    void smuggledRequestIsNeverExecuted() throws IOException {
         List<String> heads = List.of(
                 "Content-Length: " + INNER.length() + "\r\nTransfer-Encoding: chunked\r\n",
                 "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n",
@@ -139,8 +139,8 @@
                     "POST /print/outer HTTP/1.1\r\nHost: letters.example\r\nX-Onyx-Key: k1\r\n" + h + "\r\n" + INNER;
             exchange(text.getBytes(StandardCharsets.ISO_8859_1));
         }
-        assertThat(ran.stream().filter(uri -> uri.contains("inner")).toList(), is(empty()));
-        assertThat(serve(), containsString("200 OK"));
+        assertThat(executedUris.stream().filter(uri -> uri.contains("inner")).toList(), is(empty()));
+        assertThat(sendValid(), containsString("200 OK"));
     }
 
     @Test
@@ -151,8 +151,9 @@
             random.nextBytes(bytes);
             exchange(bytes);
         }
-        assertThat(serve(), containsString("200 OK"));
-        assertThat(ran.size(), greaterThan(0));
-        assertThat(ran.stream().filter(uri -> !uri.equals("/print/good")).toList(), is(empty()));
+        assertThat(sendValid(), containsString("200 OK"));
+        assertThat(executedUris.size(), greaterThan(0));
+        assertThat(
+                executedUris.stream().filter(uri -> !uri.equals("/print/good")).toList(), is(empty()));
     }
 }
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/file/RevokedKeyTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/file/RevokedKeyTest.java
@@ -30,33 +30,33 @@
 import static org.hamcrest.Matchers.anyOf;
 import static org.hamcrest.Matchers.is;
 
-/** API keys that the operators have taken away. */
+/** API keys that operators have revoked. */
 class RevokedKeyTest {
 
     private static final long TIMEOUT_MS = 20_000;
 
-    /** What the operators allow for a key taken away. */
+    /** Time that operators allow for a key to be revoked. */
     private static final long KEY_LIMIT_MS = 2_000;
 
     private final Vertx vertx = Vertx.vertx();
     private final HttpClient client = vertx.createHttpClient();
     private final int port = Ports.free();
     private final AtomicInteger runs = new AtomicInteger();
-    private final SlowProtocol protocol = new SlowProtocol();
+    private final BlockingProtocol protocol = new BlockingProtocol();
     private final Freshness freshness = Freshness.within(KEY_LIMIT_MS);
     private final Forwarder forwarder = start();
 
-    /** Holds the traffic thread up while it reads a call's head, as a VM short of processor time does. */
-    private static final class SlowProtocol implements CallProtocol {
+    /** Blocks the traffic thread while it reads a call's head, as on a VM that lacks processor time. */
+    private static final class BlockingProtocol implements CallProtocol {
 
         private final OnyxCallProtocol protocol = new OnyxCallProtocol();
         private final CountDownLatch reading = new CountDownLatch(1);
-        private final CountDownLatch goOn = new CountDownLatch(1);
+        private final CountDownLatch resumeReading = new CountDownLatch(1);
 
         @Override
         public Either<String, CallHead> readCall(HttpServerRequest request) {
             reading.countDown();
-            RevokedKeyTest.await(goOn);
+            RevokedKeyTest.await(resumeReading);
             return protocol.readCall(request);
         }
 
@@ -81,7 +81,7 @@
                                 .listen(0, "127.0.0.1"),
                         TIMEOUT_MS)
                 .actualPort();
-        ForwardingSetup setup = SmallSite.read(SmallSite.text(port, targetPort, "", ""));
+        ForwardingSetup setup = SingleTargetConfig.read(SingleTargetConfig.text(port, targetPort, "", ""));
         Forwarder f = Launch.await(
                 Forwarder.start(Vertx.vertx(), setup.settings(), protocol, freshness, new MetricRegistry()),
                 TIMEOUT_MS);
@@ -105,7 +105,7 @@
 
     private static void await(CountDownLatch latch) {
         try {
-            assertThat("in time", latch.await(TIMEOUT_MS, TimeUnit.MILLISECONDS), is(true));
+            assertThat("latch released in time", latch.await(TIMEOUT_MS, TimeUnit.MILLISECONDS), is(true));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -120,16 +120,20 @@
         Launch.await(vertx.close(), TIMEOUT_MS);
     }
 
-    /** Guards against serving a key past its limit by an older configuration under the proof of a newer one. */
+    /**
+     * Guards against accepting a key past its limit by checking it against an older configuration under the
+     * confirmation of a newer one.
+     */
     @Test
-    void isNotServedByAConfigurationThatWasReplacedWhileItsCallWaited() {
+    void isRefusedWhenConfigurationIsReplacedWhileCallWaits() {
         Future<Integer> status = call();
         await(protocol.reading);
         await(() -> !forwarder.ready());
-        forwarder.configure(SmallSite.read(SmallSite.text(port, 1, "", "").replace("k1", "k2"))
-                .config());
+        forwarder.configure(
+                SingleTargetConfig.read(SingleTargetConfig.text(port, 1, "", "").replace("k1", "k2"))
+                        .config());
         forwarder.confirmed(freshness.stampMs());
-        protocol.goOn.countDown();
+        protocol.resumeReading.countDown();
         assertThat(Launch.await(status, TIMEOUT_MS), anyOf(is(401), is(503)));
         assertThat(runs.get(), is(0));
     }
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/file/SilentStreamTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/file/SilentStreamTest.java
@@ -21,24 +21,24 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * An incident: beside a change of the configuration a router broke off four streams to its callers whose target would
- * have gone on with them.
+ * Guards against breaking off a stream whose target would have continued it.
  *
- * <p>A target from which nothing comes for a second on any connection is taken for lost, and its streams that may be
- * resumed go on at another target. In an overload no other has a slot; the stream was given up all the same, and then
- * there was nothing to go on with. What proved it: a call of a played day, "silent for 1035 ms", then "busy", then cut.
+ * <p>A target that sends nothing for a second on any connection is considered lost, and its resumable streams continue
+ * at another target. Under overload no other target has a free slot. The router gave the stream up all the same
+ * ("silent for 1035 ms", then "busy"), and truncated the response because nothing was left to continue it; four
+ * callers' streams were lost that way during a configuration change.
  */
 class SilentStreamTest {
 
     private static final long TIMEOUT_MS = 20_000;
 
-    /** Longer than a target's silence is borne, and well below what a caller bears. */
+    /** Longer than the silence limit for a target, and well below what a caller tolerates. */
     private static final long SILENT_MS = 1_700;
 
-    /** How long the other target's stream takes. */
+    /** Duration of the other target's stream. */
     private static final long BUSY_MS = 2_500;
 
-    /** Calls that wait for a slot as well. */
+    /** Additional calls that wait for a slot. */
     private static final int WAITING = 8;
 
     private static final String END = "id: 2\ndata: end\n\n";
@@ -46,8 +46,8 @@
     private final Vertx vertx = Vertx.vertx();
     private final HttpClient client = vertx.createHttpClient();
     private final int port = Ports.free();
-    /** Streams that a target has begun. */
-    private final AtomicInteger begun = new AtomicInteger();
+    /** Number of streams begun by targets. */
+    private final AtomicInteger startedStreams = new AtomicInteger();
 
     private int target(boolean silent) {
         return Launch.await(
@@ -58,14 +58,14 @@
                 .actualPort();
     }
 
-    /** Two events; between them a pause, or one event more every 100 ms. */
+    /** Sends two events; between them either a pause, or another event every 100 ms. */
     private void answer(HttpServerRequest request, boolean silent) {
         HttpServerResponse response = request.response().setChunked(true);
         if (request.getHeader("Last-Event-ID") != null) {
             response.end(END);
             return;
         }
-        begun.incrementAndGet();
+        startedStreams.incrementAndGet();
         response.write("id: 1\ndata: begin\n\n");
         if (!silent) {
             vertx.setPeriodic(100, t -> {
@@ -77,7 +77,7 @@
         vertx.setTimer(silent ? SILENT_MS : BUSY_MS, t -> response.end(END));
     }
 
-    private String site(int silentPort, int otherPort) {
+    private String configText(int silentPort, int otherPort) {
         return String.join(
                 "\n",
                 "[router]",
@@ -126,7 +126,9 @@
     }
 
     private ForwardingNode start() {
-        return Launch.await(ForwardingNode.start(vertx, SmallSite.read(site(target(true), target(false)))), TIMEOUT_MS);
+        return Launch.await(
+                ForwardingNode.start(vertx, SingleTargetConfig.read(configText(target(true), target(false)))),
+                TIMEOUT_MS);
     }
 
     private static void await(BooleanSupplier condition) {
@@ -139,12 +141,12 @@
     }
 
     @Test
-    void aStreamIsNotBrokenOffForLackOfAnotherSlot() {
+    void silentStreamIsKeptWhenNoOtherSlotIsFree() {
         try (ForwardingNode node = start()) {
             Future<String> first = draft();
-            await(() -> begun.get() == 1);
+            await(() -> startedStreams.get() == 1);
             Future<String> second = draft();
-            await(() -> begun.get() == 2);
+            await(() -> startedStreams.get() == 2);
             for (int i = 0; i < WAITING; i++) {
                 draft();
             }
@@ -154,7 +156,7 @@
     }
 
     @Test
-    void aStreamGoesOnWhereThereIsASlot() {
+    void silentStreamContinuesAtTargetWithFreeSlot() {
         try (ForwardingNode node = start()) {
             long beganNs = System.nanoTime();
             assertThat(Launch.await(draft(), TIMEOUT_MS), is("200 id: 1\ndata: begin\n\n" + END));
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/file/SmallSite.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/file/SingleTargetConfig.java
@@ -3,18 +3,18 @@
 import org.onyxhinge.runtime.Ports;
 import org.onyxhinge.runtime.Settings;
 
-/** The file of a router with one route, {@code /print/} of {@code letters.example}, and one target. */
-final class SmallSite {
+/** Configuration file of a router with one route, {@code /print/} of {@code letters.example}, and one target. */
+final class SingleTargetConfig {
 
-    private SmallSite() {}
+    private SingleTargetConfig() {}
 
     /**
-     * Its text.
+     * The text of the file.
      *
-     * @param port where callers reach the router
-     * @param targetPort where it reaches its target
+     * @param port port for callers
+     * @param targetPort port of the target
      * @param limits lines of the section {@code [limits]}
-     * @param workspace further lines of the workspace {@code agency}, whose key is {@code k1}
+     * @param workspace additional lines of the workspace {@code agency}, whose key is {@code k1}
      */
     static String text(int port, int targetPort, String limits, String workspace) {
         return String.join(
