--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/ActiveConfig.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/ActiveConfig.java
@@ -13,13 +13,13 @@
 
     private static final Logger LOG = Logger.getLogger(ActiveConfig.class);
 
-    private final Freshness freshness;
+    private final ConfigFreshness freshness;
     /** Null until the first configuration arrives; always replaced as one value. */
     private volatile ConfirmedConfig current;
 
     private boolean keysTrustedBefore;
 
-    ActiveConfig(Freshness freshness) {
+    ActiveConfig(ConfigFreshness freshness) {
         this.freshness = freshness;
     }
 
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Attempt.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Attempt.java
@@ -7,8 +7,8 @@
 import io.vertx.core.http.HttpClientResponse;
 import io.vertx.core.http.HttpMethod;
 import io.vertx.core.http.RequestOptions;
-import org.onyxhinge.core.place.Call;
 import org.onyxhinge.core.place.AdvertisedLimit;
+import org.onyxhinge.core.place.Call;
 import org.onyxhinge.core.place.TargetState;
 import org.onyxhinge.core.quarantine.RequestFingerprint;
 import org.onyxhinge.wire.MonotonicClock;
@@ -62,13 +62,13 @@
         void notSent(Attempt attempt, String why);
 
         /** Called when the target states that it did not execute the call. */
-        void notRun(Attempt attempt, AnswerHead head, HttpClientResponse response);
+        void notRun(Attempt attempt, ResponseHead head, HttpClientResponse response);
 
         /** Called with a complete response. */
-        void answered(Attempt attempt, AnswerHead head, HttpClientResponse response, Buffer body);
+        void answered(Attempt attempt, ResponseHead head, HttpClientResponse response, Buffer body);
 
         /** Called when an event stream begins; if it returns false, the response is buffered instead. */
-        boolean streamBegins(Attempt attempt, AnswerHead head, HttpClientResponse response);
+        boolean streamBegins(Attempt attempt, ResponseHead head, HttpClientResponse response);
 
         /** Called with bytes of the stream. */
         void streamBytes(Attempt attempt, Buffer bytes);
@@ -160,7 +160,7 @@
         }
         response = r;
         bytesReceived();
-        AnswerHead head = forwarder.protocol().readAnswer(r.statusCode(), r.headers(), owner.requestId());
+        ResponseHead head = forwarder.protocol().readResponse(r.statusCode(), r.headers(), owner.requestId());
         r.exceptionHandler(this::connectionLost);
         owner.limitNamed(head.limit());
         forwarder.targetLimits().responseReceived(target, head, sentAtMs);
@@ -180,7 +180,7 @@
         }
     }
 
-    private void buffer(AnswerHead head, HttpClientResponse r) {
+    private void buffer(ResponseHead head, HttpClientResponse r) {
         body = Buffer.buffer();
         r.handler(b -> {
             bytesReceived();
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallCheck.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallCheck.java
@@ -49,7 +49,8 @@
      */
     record Undetermined(CallHead head, String why) implements CallCheck {}
 
-    static CallCheck of(HttpServerRequest request, CallProtocol protocol, ConfirmedConfig active, Freshness freshness) {
+    static CallCheck of(
+            HttpServerRequest request, CallProtocol protocol, ConfirmedConfig active, ConfigFreshness freshness) {
         ForwardingConfig config = active.config();
         var read = protocol.readCall(request);
         if (read.isLeft()) {
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallPlan.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallPlan.java
@@ -77,7 +77,9 @@
         boolean model = config.service(service).map(TargetService::modelEngine).orElse(false);
         return Call.of(service, arrivedAtMs)
                 .rank(rank(), times.isRetry())
-                .times(times.firstByteDeadlineMs(), responseBegun ? times.responseDeadlineMs() : times.queueDeadlineMs())
+                .times(
+                        times.firstByteDeadlineMs(),
+                        responseBegun ? times.responseDeadlineMs() : times.queueDeadlineMs())
                 .responseDeadline(times.responseDeadlineMs())
                 .gapTarget(route.gapTargetMs())
                 .work(model ? head.promptTokens() : 0, model ? expectedEvents : 0)
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallProtocol.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CallProtocol.java
@@ -17,5 +17,5 @@
     void writeCall(MultiMap callerHeaders, OutgoingCall outgoing, MultiMap out);
 
     /** Parses the head of a target's response to the request {@code requestId}. */
-    AnswerHead readAnswer(int status, MultiMap headers, String requestId);
+    ResponseHead readResponse(int status, MultiMap headers, String requestId);
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Freshness.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/ConfigFreshness.java
@@ -7,7 +7,7 @@
  * when the confirming read was sent. A router cut off from the store stops trusting keys before the time that operators
  * allow for revoking a key has passed. Thread-safe.
  */
-public final class Freshness {
+public final class ConfigFreshness {
 
     /** Placeholder for the time of a confirmation that never happened. */
     static final long NEVER_CONFIRMED_MS = Long.MIN_VALUE;
@@ -18,13 +18,13 @@
     private final SuspendAwareClock clock = SuspendAwareClock.create();
     private final long maxAgeMs;
 
-    private Freshness(long maxAgeMs) {
+    private ConfigFreshness(long maxAgeMs) {
         this.maxAgeMs = maxAgeMs;
     }
 
     /** Creates an instance for the time that operators allow for revoking a key; 0 for no limit. */
-    public static Freshness within(long maxAgeMs) {
-        return new Freshness(maxAgeMs);
+    public static ConfigFreshness within(long maxAgeMs) {
+        return new ConfigFreshness(maxAgeMs);
     }
 
     /** Timestamp for a read that is sent now. */
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/ConfirmedConfig.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/ConfirmedConfig.java
@@ -14,7 +14,7 @@
 
     /** Wraps a newer configuration; it keeps the confirmation time of {@code before} until it is confirmed itself. */
     static ConfirmedConfig of(ForwardingConfig newer, ConfirmedConfig before) {
-        return new ConfirmedConfig(newer, before == null ? Freshness.NEVER_CONFIRMED_MS : before.confirmedAtMs);
+        return new ConfirmedConfig(newer, before == null ? ConfigFreshness.NEVER_CONFIRMED_MS : before.confirmedAtMs);
     }
 
     /** The same configuration, confirmed by a read that was sent at {@code askedAtMs}. */
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Exchange.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Exchange.java
@@ -8,8 +8,8 @@
 import io.vertx.core.http.HttpClientResponse;
 import io.vertx.core.http.HttpServerRequest;
 import io.vertx.core.http.RequestOptions;
-import org.onyxhinge.core.place.Call;
 import org.onyxhinge.core.place.AdvertisedLimit;
+import org.onyxhinge.core.place.Call;
 import org.onyxhinge.core.place.TargetState;
 import org.onyxhinge.core.place.Verdict;
 import org.onyxhinge.core.quarantine.RequestFingerprint;
@@ -269,7 +269,7 @@
     }
 
     @Override
-    public void notRun(Attempt a, AnswerHead head, HttpClientResponse response) {
+    public void notRun(Attempt a, ResponseHead head, HttpClientResponse response) {
         logEntry.addTrouble(a.target().info().id(), "not run, status " + head.status());
         forwarder.metrics().event("sends.shed");
         if (!finished) {
@@ -283,7 +283,7 @@
     }
 
     @Override
-    public void answered(Attempt a, AnswerHead head, HttpClientResponse response, Buffer responseBody) {
+    public void answered(Attempt a, ResponseHead head, HttpClientResponse response, Buffer responseBody) {
         if (finished) {
             return;
         }
@@ -301,14 +301,14 @@
         forwardResponse(head, response, responseBody);
     }
 
-    private void forwardResponse(AnswerHead head, HttpClientResponse response, Buffer responseBody) {
+    private void forwardResponse(ResponseHead head, HttpClientResponse response, Buffer responseBody) {
         logEntry.firstByteMs = MonotonicClock.nowMs() - arrivedAtMs;
         caller.sendResponse(head.status(), response, responseBody);
         end(head.success() ? "answered" : "target_error", "status " + head.status());
     }
 
     @Override
-    public boolean streamBegins(Attempt a, AnswerHead head, HttpClientResponse response) {
+    public boolean streamBegins(Attempt a, ResponseHead head, HttpClientResponse response) {
         if (plan.route().kind() != CallKind.STREAM || finished) {
             return false;
         }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/FallbackResponse.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/FallbackResponse.java
@@ -10,4 +10,4 @@
  * @param response the response
  * @param body its complete body
  */
-record FallbackResponse(AnswerHead head, HttpClientResponse response, Buffer body) {}
+record FallbackResponse(ResponseHead head, HttpClientResponse response, Buffer body) {}
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Forwarder.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Forwarder.java
@@ -20,11 +20,11 @@
 import io.vertx.core.json.JsonObject;
 import org.jboss.logging.Logger;
 import org.onyxhinge.core.limit.RetryBudget;
-import org.onyxhinge.core.place.ResponseLengthEstimator;
 import org.onyxhinge.core.place.Call;
 import org.onyxhinge.core.place.CallerDeadlines;
 import org.onyxhinge.core.place.Placement;
 import org.onyxhinge.core.place.PlacementSettings;
+import org.onyxhinge.core.place.ResponseLengthEstimator;
 import org.onyxhinge.core.place.TargetState;
 import org.onyxhinge.core.quarantine.RequestFingerprint;
 import org.onyxhinge.core.route.ForwardingConfig;
@@ -57,7 +57,7 @@
     private final Placement placement;
     private final WorkspaceQuotas quotas;
     private final RetryBudget retries;
-    private final Freshness freshness;
+    private final ConfigFreshness freshness;
     private final ActiveConfig config;
     private final ResponseLengthEstimator lengths = new ResponseLengthEstimator();
     private final CallerDeadlines deadlines = CallerDeadlines.create();
@@ -74,12 +74,16 @@
     private StartScheduler startScheduler;
     private WaitingExchanges waiting;
     private RouterPeers peers;
-    private FleetRecords records;
+    private RecoveryRecords records;
     private TargetRegistry targets;
     private HttpServer server;
 
     private Forwarder(
-            Vertx vertx, ForwardingSettings settings, CallProtocol protocol, Freshness freshness, MetricRegistry m) {
+            Vertx vertx,
+            ForwardingSettings settings,
+            CallProtocol protocol,
+            ConfigFreshness freshness,
+            MetricRegistry m) {
         this.vertx = vertx;
         this.settings = settings;
         this.protocol = protocol;
@@ -103,7 +107,7 @@
             Vertx vertx,
             ForwardingSettings settings,
             CallProtocol protocol,
-            Freshness freshness,
+            ConfigFreshness freshness,
             MetricRegistry registry) {
         Forwarder f = new Forwarder(vertx, settings, protocol, freshness, registry);
         Promise<Forwarder> started = Promise.promise();
@@ -135,7 +139,7 @@
         return RouterPeers.start(vertx, settings, peerDelegate)
                 .compose(p -> {
                     peers = p;
-                    records = new FleetRecords(context, quotas, crashQuarantine, p);
+                    records = new RecoveryRecords(context, quotas, crashQuarantine, p);
                     return server.listen(settings.port(), settings.host());
                 })
                 .map(s -> {
@@ -210,7 +214,7 @@
     }
 
     /** The records shared with other routers through the key-value service. */
-    public FleetRecords records() {
+    public RecoveryRecords records() {
         return records;
     }
 
@@ -363,7 +367,7 @@
         return targetLimits;
     }
 
-    Freshness freshness() {
+    ConfigFreshness freshness() {
         return freshness;
     }
 
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeerLink.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeerLink.java
@@ -9,8 +9,8 @@
 
 import io.vertx.core.net.NetClient;
 import org.jboss.logging.Logger;
-import org.onyxhinge.core.place.PeerUpdateSchedule;
 import org.onyxhinge.core.place.PeerUpdate;
+import org.onyxhinge.core.place.PeerUpdateSchedule;
 import org.onyxhinge.core.place.TargetUse;
 import org.onyxhinge.runtime.HostPort;
 import org.onyxhinge.wire.MonotonicClock;
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/QuarantineKeeper.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/QuarantineRecordWriter.java
@@ -7,27 +7,27 @@
 import org.onyxhinge.wire.kv.KvStore;
 
 /** Writes the record of quarantined requests to the key-value service, once for each quarantine. */
-public final class QuarantineKeeper {
+public final class QuarantineRecordWriter {
 
-    private static final Logger LOG = Logger.getLogger(QuarantineKeeper.class);
+    private static final Logger LOG = Logger.getLogger(QuarantineRecordWriter.class);
 
     /** A router that starts within this time after a quarantine may not know of it until another router reports it. */
     private static final long CHECK_INTERVAL_MS = 250;
 
     private final KvStore store;
     private final String key;
-    private final FleetRecords records;
+    private final RecoveryRecords records;
     private boolean writing;
 
-    private QuarantineKeeper(KvStore store, String key, FleetRecords records) {
+    private QuarantineRecordWriter(KvStore store, String key, RecoveryRecords records) {
         this.store = store;
         this.key = key;
         this.records = records;
     }
 
     /** Starts writing the record under {@code key}; must be called on the store's context. */
-    public static void start(Vertx vertx, KvStore store, String key, FleetRecords records) {
-        QuarantineKeeper writer = new QuarantineKeeper(store, key, records);
+    public static void start(Vertx vertx, KvStore store, String key, RecoveryRecords records) {
+        QuarantineRecordWriter writer = new QuarantineRecordWriter(store, key, records);
         vertx.setPeriodic(CHECK_INTERVAL_MS, t -> writer.write());
     }
 
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/FleetRecords.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/RecoveryRecords.java
@@ -13,9 +13,9 @@
  * Records that routers share through the key-value service for recovery when all of them restart at once: the
  * workspaces' usage and the quarantined requests. The public methods may be called from any thread.
  */
-public final class FleetRecords {
+public final class RecoveryRecords {
 
-    private static final Logger LOG = Logger.getLogger(FleetRecords.class);
+    private static final Logger LOG = Logger.getLogger(RecoveryRecords.class);
 
     /**
      * Time within which the primary writer, the live router with the lowest id, records a quarantine if it reaches the
@@ -31,7 +31,7 @@
     private long storedVersion;
     private long outdatedSinceMs = -1;
 
-    FleetRecords(Context context, WorkspaceQuotas quotas, CrashQuarantine crashQuarantine, RouterPeers peers) {
+    RecoveryRecords(Context context, WorkspaceQuotas quotas, CrashQuarantine crashQuarantine, RouterPeers peers) {
         this.context = context;
         this.quotas = quotas;
         this.crashQuarantine = crashQuarantine;
@@ -59,7 +59,7 @@
     }
 
     /** Applies the usage record as read from the store. */
-    public void usageRecorded(byte[] bytes) {
+    public void restoreUsage(byte[] bytes) {
         context.runOnContext(v -> {
             if (quotas.needsRecord()) {
                 UsageRecord.decode(bytes)
@@ -91,7 +91,7 @@
     }
 
     /** Applies the quarantine record as read from the store. */
-    public void quarantineRecorded(byte[] bytes, long version) {
+    public void restoreQuarantine(byte[] bytes, long version) {
         context.runOnContext(v -> {
             storedVersion = version;
             QuarantineRecord.decode(bytes)
@@ -104,7 +104,7 @@
     }
 
     /** Lifts every quarantine, because an operator has removed the record. */
-    public void quarantineRemoved() {
+    public void liftQuarantine() {
         context.runOnContext(v -> {
             storedVersion = 0;
             storedQuarantine = new QuarantineRecord(List.of());
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/AnswerHead.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/ResponseHead.java
@@ -11,7 +11,7 @@
  * @param trusted whether the response carries a target's signature and has the expected encoding
  * @param limit the rate limit that the target reports
  */
-public record AnswerHead(int status, boolean notRun, boolean foreign, boolean trusted, AdvertisedLimit limit) {
+public record ResponseHead(int status, boolean notRun, boolean foreign, boolean trusted, AdvertisedLimit limit) {
 
     public boolean success() {
         return status >= 200 && status < 300;
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetRateLimits.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetRateLimits.java
@@ -36,7 +36,7 @@
      *
      * @param sentAtMs when the call was sent
      */
-    void responseReceived(TargetState target, AnswerHead head, long sentAtMs) {
+    void responseReceived(TargetState target, ResponseHead head, long sentAtMs) {
         if (head.foreign()) {
             return;
         }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetRegistry.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetRegistry.java
@@ -34,7 +34,7 @@
     }
 
     /** Adds or updates a registered target. */
-    public void seen(Target target) {
+    public void targetRegistered(Target target) {
         context.runOnContext(v -> {
             lapsed.settled(target.id());
             Optional<TargetState> replaced = placement.targetSeen(target);
@@ -44,7 +44,7 @@
     }
 
     /** Removes a target that is no longer registered. */
-    public void gone(String id) {
+    public void targetUnregistered(String id) {
         context.runOnContext(v -> {
             lapsed.settled(id);
             removeTarget(id);
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/UsageKeeper.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/UsageRecordWriter.java
@@ -11,27 +11,27 @@
  * writes per second regardless of fleet size. Without the record, routers that all restart at once assume that nine
  * tenths of each limit are used, and refuse workspaces within their limits for the first seconds.
  */
-public final class UsageKeeper {
+public final class UsageRecordWriter {
 
-    private static final Logger LOG = Logger.getLogger(UsageKeeper.class);
+    private static final Logger LOG = Logger.getLogger(UsageRecordWriter.class);
 
     /** Usage between two writes must be assumed to be the maximum, one fortieth of the limit per 200 ms. */
     private static final long WRITE_INTERVAL_MS = 500;
 
     private final KvStore store;
     private final String key;
-    private final FleetRecords records;
+    private final RecoveryRecords records;
     private boolean writing;
 
-    private UsageKeeper(KvStore store, String key, FleetRecords records) {
+    private UsageRecordWriter(KvStore store, String key, RecoveryRecords records) {
         this.store = store;
         this.key = key;
         this.records = records;
     }
 
     /** Starts writing the record under {@code key}; must be called on the store's context. */
-    public static void start(Vertx vertx, KvStore store, String key, FleetRecords records) {
-        UsageKeeper writer = new UsageKeeper(store, key, records);
+    public static void start(Vertx vertx, KvStore store, String key, RecoveryRecords records) {
+        UsageRecordWriter writer = new UsageRecordWriter(store, key, records);
         vertx.setPeriodic(WRITE_INTERVAL_MS, t -> writer.write());
     }
 
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/WorkspaceQuotas.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/WorkspaceQuotas.java
@@ -107,8 +107,8 @@
         if (nowMs - startedAtMs >= windowMs) {
             return new PriorUsage.None();
         }
-        return record.map(r ->
-                        PriorUsage.recorded(r.units(workspace.name()), recordAgeMs, nowMs - startedAtMs, windowMs, (long)
+        return record.map(r -> PriorUsage.recorded(
+                        r.units(workspace.name()), recordAgeMs, nowMs - startedAtMs, windowMs, (long)
                                 (RESTART_TOLERANCE_SHARE * tolerance(workspace))))
                 .orElseGet(PriorUsage.Unknown::new);
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/ForwardingNode.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/ForwardingNode.java
@@ -8,8 +8,8 @@
 import io.vertx.core.Vertx;
 import org.jboss.logging.Logger;
 import org.onyxhinge.core.place.Target;
+import org.onyxhinge.router.forward.ConfigFreshness;
 import org.onyxhinge.router.forward.Forwarder;
-import org.onyxhinge.router.forward.Freshness;
 import org.onyxhinge.runtime.StatusEndpoints;
 
 /** A forwarding router that takes its routes and targets from a file, which can be reloaded. */
@@ -29,7 +29,7 @@
     /** Starts a router; completes once it accepts calls. */
     public static Future<ForwardingNode> start(Vertx vertx, ForwardingSetup setup) {
         MetricRegistry metrics = new MetricRegistry();
-        return Forwarder.start(vertx, setup.settings(), new OnyxCallProtocol(), Freshness.within(0), metrics)
+        return Forwarder.start(vertx, setup.settings(), new OnyxCallProtocol(), ConfigFreshness.within(0), metrics)
                 .compose(forwarder -> {
                     StatusEndpoints status = StatusEndpoints.create(metrics, forwarder::dump, forwarder::ready);
                     return vertx.createHttpServer()
@@ -52,12 +52,12 @@
             current.targets().stream()
                     .map(Target::id)
                     .filter(id -> !targets.containsKey(id))
-                    .forEach(forwarder.targets()::gone);
+                    .forEach(forwarder.targets()::targetUnregistered);
             current.routers().keySet().stream()
                     .filter(id -> !newer.routers().containsKey(id))
                     .forEach(forwarder::routerGone);
         }
-        targets.values().forEach(forwarder.targets()::seen);
+        targets.values().forEach(forwarder.targets()::targetRegistered);
         newer.routers().forEach((id, router) -> forwarder.routerSeen(id, router.address(), router.dataCentre()));
         forwarder.configure(newer.config());
         current = newer;
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/OnyxCallProtocol.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/file/OnyxCallProtocol.java
@@ -8,11 +8,11 @@
 import io.vertx.core.MultiMap;
 import io.vertx.core.http.HttpServerRequest;
 import org.onyxhinge.core.place.AdvertisedLimit;
-import org.onyxhinge.router.forward.AnswerHead;
 import org.onyxhinge.router.forward.CallHead;
 import org.onyxhinge.router.forward.CallProtocol;
 import org.onyxhinge.router.forward.HopHeaders;
 import org.onyxhinge.router.forward.OutgoingCall;
+import org.onyxhinge.router.forward.ResponseHead;
 
 /**
  * The product's own header names. All headers of a caller are optional. Targets need not know any of them, but a
@@ -88,10 +88,10 @@
     }
 
     @Override
-    public AnswerHead readAnswer(int status, MultiMap headers, String requestId) {
+    public ResponseHead readResponse(int status, MultiMap headers, String requestId) {
         String echoed = headers.get(REQUEST_ID);
         boolean foreign = echoed != null && !echoed.equals(requestId);
         boolean notRun = headers.contains(NOT_RUN) || status == MISDIRECTED;
-        return new AnswerHead(status, notRun, foreign, true, AdvertisedLimit.parse(headers.get(RATE_LIMIT)));
+        return new ResponseHead(status, notRun, foreign, true, AdvertisedLimit.parse(headers.get(RATE_LIMIT)));
     }
 }
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/ActiveConfigTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/ActiveConfigTest.java
@@ -13,7 +13,7 @@
 
 class ActiveConfigTest {
 
-    private final Freshness freshness = Freshness.within(5_000);
+    private final ConfigFreshness freshness = ConfigFreshness.within(5_000);
     private final ActiveConfig config = new ActiveConfig(freshness);
 
     private static ForwardingConfig version(long version) {
@@ -42,7 +42,7 @@
 
         @Test
         void areTrustedWithoutConfirmationWhenUnlimited() {
-            ActiveConfig unlimited = new ActiveConfig(Freshness.within(0));
+            ActiveConfig unlimited = new ActiveConfig(ConfigFreshness.within(0));
             unlimited.replace(version(1));
             assertThat(unlimited.keysTrusted(), is(true));
         }
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/RouterPeersTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/RouterPeersTest.java
@@ -17,8 +17,8 @@
 import io.vertx.core.Vertx;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import org.onyxhinge.core.place.PeerUpdateSchedule;
 import org.onyxhinge.core.place.PeerUpdate;
+import org.onyxhinge.core.place.PeerUpdateSchedule;
 import org.onyxhinge.core.place.SlotRequest;
 import org.onyxhinge.core.place.TargetUse;
 import org.onyxhinge.core.quarantine.RequestFingerprint;
@@ -69,7 +69,8 @@
 
         @Override
         public Function<String, PeerUpdate> news() {
-            return router -> new PeerUpdate(near, Map.copyOf(uses), Map.copyOf(waiting), Map.of(), Set.copyOf(borrowed));
+            return router ->
+                    new PeerUpdate(near, Map.copyOf(uses), Map.copyOf(waiting), Map.of(), Set.copyOf(borrowed));
         }
 
         @Override
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/file/RevokedKeyTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/file/RevokedKeyTest.java
@@ -16,13 +16,13 @@
 import io.vertx.core.http.RequestOptions;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import org.onyxhinge.router.forward.AnswerHead;
 import org.onyxhinge.router.forward.CallHead;
 import org.onyxhinge.router.forward.CallProtocol;
 import org.onyxhinge.router.forward.Conditions;
+import org.onyxhinge.router.forward.ConfigFreshness;
 import org.onyxhinge.router.forward.Forwarder;
-import org.onyxhinge.router.forward.Freshness;
 import org.onyxhinge.router.forward.OutgoingCall;
+import org.onyxhinge.router.forward.ResponseHead;
 import org.onyxhinge.runtime.Launch;
 import org.onyxhinge.runtime.Ports;
 
@@ -43,7 +43,7 @@
     private final int port = Ports.free();
     private final AtomicInteger runs = new AtomicInteger();
     private final BlockingProtocol protocol = new BlockingProtocol();
-    private final Freshness freshness = Freshness.within(KEY_LIMIT_MS);
+    private final ConfigFreshness freshness = ConfigFreshness.within(KEY_LIMIT_MS);
     private final Forwarder forwarder = start();
 
     /** Blocks the traffic thread while it reads a call's head, as on a VM that lacks processor time. */
@@ -66,8 +66,8 @@
         }
 
         @Override
-        public AnswerHead readAnswer(int status, MultiMap headers, String requestId) {
-            return protocol.readAnswer(status, headers, requestId);
+        public ResponseHead readResponse(int status, MultiMap headers, String requestId) {
+            return protocol.readResponse(status, headers, requestId);
         }
     }
 
@@ -85,7 +85,7 @@
         Forwarder f = Launch.await(
                 Forwarder.start(Vertx.vertx(), setup.settings(), protocol, freshness, new MetricRegistry()),
                 TIMEOUT_MS);
-        setup.targets().forEach(f.targets()::seen);
+        setup.targets().forEach(f.targets()::targetRegistered);
         f.configure(setup.config());
         f.confirmed(freshness.stampMs());
         return f;
