--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetRateLimits.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetRateLimits.java
@@ -54,7 +54,7 @@
     }
 
     private void limitReported(String incarnation, double perSecond) {
-        if (placement.limitNamed(incarnation, perSecond, MonotonicClock.nowMs())) {
+        if (placement.limitAdvertised(incarnation, perSecond, MonotonicClock.nowMs())) {
             metrics.event("targets.limited");
             LOG.infof("target limited incarnation=%s perSecond=%s", incarnation, perSecond);
             broadcastChange(new PeerMessage.LimitedAgo(incarnation, true, perSecond, 0));
@@ -78,7 +78,7 @@
         for (PeerMessage.LimitedAgo l : message.limits()) {
             long atMs = nowMs - l.agoMs();
             boolean changed = l.named()
-                    ? placement.limitNamed(l.incarnation(), l.perSecond(), atMs)
+                    ? placement.limitAdvertised(l.incarnation(), l.perSecond(), atMs)
                     : placement.limitNotAdvertised(l.incarnation(), atMs);
             if (changed) {
                 LOG.infof(
