--- a/onyxhinge-agent/src/main/java/org/onyxhinge/agent/AgentNode.java
+++ b/onyxhinge-agent/src/main/java/org/onyxhinge/agent/AgentNode.java
@@ -27,37 +27,38 @@
 import org.onyxhinge.wire.peer.PeerMessage;
 
 /**
- * One agent process, assembled. All state lives on one event loop: it polls the target's load every
- * report interval, sends it to the routers that subscribed, and keeps the lease they find it by.
+ * An agent process. It polls the load of the target at every report interval, sends the load to the
+ * subscribed routers, and holds the membership lease through which routers discover the agent. All state
+ * belongs to one event loop.
  */
 public final class AgentNode implements AutoCloseable {
 
     private static final Logger LOG = Logger.getLogger(AgentNode.class);
-    private static final long DRAIN_POLL_MS = 50;
-    private static final int LOAD_TIMEOUT_MS = 1_000;
+    private static final long DRAIN_POLL_INTERVAL_MS = 50;
+    private static final int LOAD_REQUEST_TIMEOUT_MS = 1_000;
 
     private final AgentSettings settings;
     private final Vertx vertx;
-    private final Context control;
+    private final Context controlContext;
     private final MetricRegistry metrics = new MetricRegistry();
     private KvClient kv;
     private HttpClient target;
-    private AgentOrders orders;
-    private RouterHub routers;
+    private OrderExecutor orders;
+    private RouterConnections routers;
     private LeaseKeeper membership;
-    private HttpServer status;
+    private HttpServer statusServer;
     private EngineInfo engine;
     private JsonObject lastLoad = new JsonObject();
-    private VmState vmState;
+    private VmStateMonitor vmStateMonitor;
     private long pollTimer;
-    private boolean polling;
+    private boolean pollInProgress;
     private boolean targetReachable;
     private volatile boolean draining;
 
     private AgentNode(AgentSettings settings, Vertx vertx) {
         this.settings = settings;
         this.vertx = vertx;
-        this.control = vertx.getOrCreateContext();
+        this.controlContext = vertx.getOrCreateContext();
         this.engine = new EngineInfo(
                 settings.targetId(),
                 settings.pool(),
@@ -69,30 +70,30 @@
                 false);
     }
 
-    /** Starts an agent; the future completes once its status port listens. */
+    /** Starts an agent; the future completes when the status port is listening. */
     public static Future<AgentNode> start(AgentSettings settings) {
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1));
         AgentNode node = new AgentNode(settings, vertx);
-        return node.onControl(node::startOnControl);
+        return node.onControlContext(node::startOnControlContext);
     }
 
-    /** The port of its status paths. */
+    /** Returns the port of the HTTP status endpoints. */
     public int statusPort() {
-        return status.actualPort();
+        return statusServer.actualPort();
     }
 
-    private Future<AgentNode> startOnControl() {
+    private Future<AgentNode> startOnControlContext() {
         kv = KvClient.connect(vertx, settings.kvHost(), settings.kvPort(), settings.kvCallTimeoutMs());
         target = vertx.createHttpClient();
-        orders = new AgentOrders(kv, target, settings);
-        return RouterHub.start(vertx, settings.host(), settings.peerPort(), this::hello, orders)
-                .compose(hub -> {
-                    routers = hub;
-                    return startStatus();
+        orders = new OrderExecutor(kv, target, settings);
+        return RouterConnections.start(vertx, settings.host(), settings.peerPort(), this::helloMessage, orders)
+                .compose(connections -> {
+                    routers = connections;
+                    return startStatusServer();
                 })
                 .map(s -> {
                     pollTimer = vertx.setPeriodic(settings.reportIntervalMs(), t -> poll());
-                    vmState = VmState.follow(vertx, target, settings, this::leavingChanged);
+                    vmStateMonitor = VmStateMonitor.start(vertx, target, settings, this::onVmLeavingChanged);
                     register();
                     LOG.infof(
                             "agent started id=%s target=%s pool=%s status=%d peer=%d",
@@ -101,14 +102,16 @@
                 });
     }
 
-    private Future<HttpServer> startStatus() {
-        status = vertx.createHttpServer()
+    private Future<HttpServer> startStatusServer() {
+        statusServer = vertx.createHttpServer()
                 .requestHandler(StatusEndpoints.create(
-                        metrics, () -> onControl(() -> Future.succeededFuture(buildDump())), () -> !draining));
-        return status.listen(settings.statusPort(), settings.host());
+                        metrics,
+                        () -> onControlContext(() -> Future.succeededFuture(buildStateDump())),
+                        () -> !draining));
+        return statusServer.listen(settings.statusPort(), settings.host());
     }
 
-    /** Makes this agent findable by routers under its pool and target. */
+    /** Registers this agent in the key-value service under its pool and target, for discovery by routers. */
     private void register() {
         String address = settings.advertiseHost() + ":" + routers.port();
         membership = LeaseKeeper.hold(
@@ -119,26 +122,26 @@
                 settings.leaseTtlMs());
     }
 
-    private void leavingChanged(boolean leaving) {
-        LOG.infof("target vm=%s leaving=%s", settings.vmId(), leaving);
+    private void onVmLeavingChanged(boolean leaving) {
+        LOG.infof("target VM state changed vm=%s leaving=%s", settings.vmId(), leaving);
         report();
     }
 
-    private PeerMessage.Hello hello() {
+    private PeerMessage.Hello helloMessage() {
         return new PeerMessage.Hello(settings.agentId(), engine);
     }
 
-    /** Asks the target for its load, unless it still owes the last answer. */
+    /** Requests the load of the target, unless the previous request is still in progress. */
     private void poll() {
-        if (polling) {
+        if (pollInProgress) {
             return;
         }
-        polling = true;
+        pollInProgress = true;
         target.request(loadRequest())
                 .compose(req -> req.send().compose(resp -> resp.body()))
-                .map(body -> heard(new JsonObject(body)))
-                .onComplete(r -> polling = false)
-                .onFailure(this::notHeard);
+                .map(body -> onLoad(new JsonObject(body)))
+                .onComplete(r -> pollInProgress = false)
+                .onFailure(this::onLoadFailure);
     }
 
     private RequestOptions loadRequest() {
@@ -147,30 +150,33 @@
                 .setHost(settings.targetHost())
                 .setPort(settings.targetPort())
                 .setURI("/load")
-                .setConnectTimeout(LOAD_TIMEOUT_MS)
-                .setIdleTimeout(LOAD_TIMEOUT_MS);
+                .setConnectTimeout(LOAD_REQUEST_TIMEOUT_MS)
+                .setIdleTimeout(LOAD_REQUEST_TIMEOUT_MS);
     }
 
-    private JsonObject heard(JsonObject load) {
-        refreshEngine(load);
+    private JsonObject onLoad(JsonObject load) {
+        updateEngine(load);
         lastLoad = load;
         if (!targetReachable) {
-            LOG.infof("target reports its load target=%s", settings.targetId());
+            LOG.infof("target load available target=%s", settings.targetId());
         }
         targetReachable = true;
         report();
         return load;
     }
 
-    /** No load, or none that can be read: nothing is reported, so routers stop using the target. */
-    private void notHeard(Throwable e) {
+    /**
+     * Handles a missing or malformed load response. Nothing is reported to the routers, so they stop using
+     * the target.
+     */
+    private void onLoadFailure(Throwable e) {
         if (targetReachable) {
-            LOG.warnf("target does not report its load target=%s error=%s", settings.targetId(), e.getMessage());
+            LOG.warnf("target load unavailable target=%s error=%s", settings.targetId(), e.getMessage());
         }
         targetReachable = false;
     }
 
-    private void refreshEngine(JsonObject load) {
+    private void updateEngine(JsonObject load) {
         EngineInfo next = new EngineInfo(
                 settings.targetId(),
                 settings.pool(),
@@ -182,7 +188,7 @@
                 load.getBoolean("checksFencing", false));
         if (!next.equals(engine)) {
             engine = next;
-            routers.broadcast(hello());
+            routers.broadcast(helloMessage());
         }
     }
 
@@ -196,12 +202,12 @@
                 lastLoad.getInteger("running", 0),
                 lastLoad.getInteger("waiting", 0),
                 prefixes,
-                draining || vmState.leaving());
+                draining || vmStateMonitor.leaving());
         routers.broadcast(load);
         metrics.meter("reports.sent").mark();
     }
 
-    private JsonObject buildDump() {
+    private JsonObject buildStateDump() {
         return new JsonObject()
                 .put("process", "agent")
                 .put("agentId", settings.agentId())
@@ -209,7 +215,7 @@
                 .put("targetId", settings.targetId())
                 .put("pool", settings.pool())
                 .put("draining", draining)
-                .put("vmLeaving", vmState.leaving())
+                .put("vmLeaving", vmStateMonitor.leaving())
                 .put("targetReachable", targetReachable)
                 .put("lastLoad", lastLoad)
                 .put("routers", new JsonArray(List.copyOf(routers.routerIds())))
@@ -223,17 +229,17 @@
     }
 
     /**
-     * A planned stop: tells every router the target is leaving, waits until the target has no work in
-     * progress (or the drain timeout passes), gives up the lease, then closes.
+     * Performs a planned stop: tells the routers that the target is leaving, waits until the target is idle
+     * or the drain timeout has passed, releases the membership lease, then closes.
      */
     public Future<Void> drain() {
         Promise<Void> done = Promise.promise();
-        control.runOnContext(v -> {
+        controlContext.runOnContext(v -> {
             draining = true;
             report();
             routers.broadcast(new PeerMessage.Bye());
             LOG.infof("agent draining id=%s", settings.agentId());
-            waitIdle(MonotonicClock.nowMs(), MonotonicClock.nowMs() + settings.drainTimeoutMs(), done);
+            awaitIdle(MonotonicClock.nowMs(), MonotonicClock.nowMs() + settings.drainTimeoutMs(), done);
         });
         return done.future()
                 .compose(v -> {
@@ -243,18 +249,21 @@
                 .eventually(() -> vertx.close());
     }
 
-    /** Load is late and may fail once: the target is idle only once it has shown no work for a while. */
-    private void waitIdle(long idleSinceMs, long untilMs, Promise<Void> done) {
+    /**
+     * Waits until the target has reported no work for the settle time, because load reports lag and a single
+     * one may fail. An unreachable target counts as idle.
+     */
+    private void awaitIdle(long idleSinceMs, long untilMs, Promise<Void> done) {
         long nowMs = MonotonicClock.nowMs();
         int busy = lastLoad.getInteger("running", 0) + lastLoad.getInteger("waiting", 0);
-        long since = busy == 0 || !targetReachable ? idleSinceMs : nowMs;
-        boolean settled = nowMs - since >= settings.drainSettleMs();
-        if (settled || nowMs >= untilMs) {
+        long newIdleSinceMs = busy == 0 || !targetReachable ? idleSinceMs : nowMs;
+        boolean isIdle = nowMs - newIdleSinceMs >= settings.drainSettleMs();
+        if (isIdle || nowMs >= untilMs) {
             LOG.infof("agent drained id=%s busy=%d", settings.agentId(), busy);
             done.complete();
             return;
         }
-        vertx.setTimer(DRAIN_POLL_MS, t -> waitIdle(since, untilMs, done));
+        vertx.setTimer(DRAIN_POLL_INTERVAL_MS, t -> awaitIdle(newIdleSinceMs, untilMs, done));
     }
 
     @Override
@@ -262,9 +271,9 @@
         vertx.close();
     }
 
-    private <T> Future<T> onControl(Supplier<Future<T>> work) {
+    private <T> Future<T> onControlContext(Supplier<Future<T>> action) {
         Promise<T> p = Promise.promise();
-        control.runOnContext(v -> work.get().onComplete(p));
+        controlContext.runOnContext(v -> action.get().onComplete(p));
         return p.future();
     }
 }
--- a/onyxhinge-agent/src/main/java/org/onyxhinge/agent/AgentSettings.java
+++ b/onyxhinge-agent/src/main/java/org/onyxhinge/agent/AgentSettings.java
@@ -5,34 +5,33 @@
 import org.onyxhinge.runtime.SettingsException;
 
 /**
- * The agent's settings, read from the INI sections {@code [agent]}, {@code [target]}, {@code [kv]} and
- * {@code [vm_list]}.
- * See {@code examples/agent.ini}.
+ * Settings of an agent, read from the INI sections {@code [agent]}, {@code [target]}, {@code [kv]} and
+ * {@code [vm_list]}. See {@code examples/agent.ini}.
  *
- * @param agentId unique id of this agent
- * @param dataCentre data centre it runs in
- * @param host address its status port listens on
- * @param statusPort port of its status paths
- * @param peerPort TCP port routers connect to
- * @param advertiseHost address routers connect to
- * @param reportIntervalMs time between load reports
- * @param drainTimeoutMs how long a planned stop waits for the target to go idle
- * @param drainSettleMs how long the target must show no work before a planned stop goes on
- * @param targetId the target's engine id
- * @param pool the pool the target serves
- * @param targetHost address routers dispatch to
- * @param targetPort port routers dispatch to
- * @param maxBatch requests the target runs at once, when it does not say
- * @param prefillTokensPerSecond the target's prompt rate, when it does not say
- * @param decodeTokensPerSecond the target's per-sequence token rate, when it does not say
- * @param kvHost key-value service address
- * @param kvPort key-value service port
- * @param kvCallTimeoutMs time a key-value call may take
- * @param leaseTtlMs time to live of its membership lease
- * @param vmId the target's VM in the platform's list; empty when the list is not followed
+ * @param agentId unique id of the agent
+ * @param dataCentre data centre in which the agent runs
+ * @param host listen address of the status port
+ * @param statusPort port of the HTTP status endpoints
+ * @param peerPort TCP port for connections from routers
+ * @param advertiseHost address that the agent registers for connections from routers
+ * @param reportIntervalMs interval between load reports
+ * @param drainTimeoutMs maximum time that a planned stop waits for the target to become idle
+ * @param drainSettleMs time for which the target must report no work before it counts as idle
+ * @param targetId engine id of the target
+ * @param pool pool to which the target belongs
+ * @param targetHost address at which routers and the agent reach the target
+ * @param targetPort port at which routers and the agent reach the target
+ * @param maxBatch number of requests that the target runs concurrently, unless its load report says otherwise
+ * @param prefillTokensPerSecond prefill rate of the target, unless its load report says otherwise
+ * @param decodeTokensPerSecond decode rate per sequence of the target, unless its load report says otherwise
+ * @param kvHost address of the key-value service
+ * @param kvPort port of the key-value service
+ * @param kvCallTimeoutMs timeout of a call to the key-value service
+ * @param leaseTtlMs time to live of the membership lease
+ * @param vmId id of the target's VM in the platform's VM list; empty to ignore the list
  * @param vmListHost address of the platform's VM list
  * @param vmListPort port of the platform's VM list
- * @param vmListIntervalMs time between two looks at the list
+ * @param vmListIntervalMs interval between two queries of the VM list
  */
 public record AgentSettings(
         String agentId,
@@ -60,7 +59,7 @@
         int vmListPort,
         long vmListIntervalMs) {
 
-    /** Reads and checks the settings; the left side names every bad key. */
+    /** Reads and validates the settings; the left side names every invalid key. */
     public static Either<SettingsException, AgentSettings> from(Settings s) {
         AgentSettings a = new AgentSettings(
                 s.text("agent", "id"),
--- a/onyxhinge-agent/src/main/java/org/onyxhinge/agent/AgentOrders.java
+++ b/onyxhinge-agent/src/main/java/org/onyxhinge/agent/OrderExecutor.java
@@ -13,70 +13,71 @@
 import org.onyxhinge.wire.kv.KvKeys;
 
 /**
- * Carries out orders on the target, one after the other, and only of the holder of the pool's order
- * lease. The lease key is read before each order: its revision is the newest fencing token, so an
- * order of a holder that was paused past its lease is refused here even when the target would take
- * it, and also right after this agent was restarted and remembers nothing. The token goes to the
- * target too, for targets that check it themselves. Runs on the agent's control context.
+ * Executes orders on the target sequentially, and only orders from the holder of the pool's order lease.
+ * The lease key is read before each order, and its revision is the newest fencing token. An order from a
+ * router that was paused beyond the expiry of its lease is therefore rejected here, even if the target
+ * would accept it and even if this agent has just restarted without any state. The token is also sent to
+ * the target, for targets that check it themselves. Runs on the agent's control context.
  */
-final class AgentOrders {
+final class OrderExecutor {
 
-    private static final Logger LOG = Logger.getLogger(AgentOrders.class);
+    private static final Logger LOG = Logger.getLogger(OrderExecutor.class);
     private static final int HTTP_OK = 200;
     private static final int HTTP_CONFLICT = 409;
 
     private final KvClient kv;
     private final HttpClient target;
     private final AgentSettings settings;
-    private final FencingGate gate = FencingGate.create();
-    private Future<Result> last = Future.succeededFuture();
+    private final FencingGate fencingGate = FencingGate.create();
+    private Future<Result> lastOrder = Future.succeededFuture();
 
     /**
-     * What became of an order.
+     * The outcome of an order.
      *
-     * @param status outcome
-     * @param detail why, for operators
+     * @param status status of the order
+     * @param detail explanation for operators
      */
     record Result(OrderStatus status, String detail) {}
 
-    AgentOrders(KvClient kv, HttpClient target, AgentSettings settings) {
+    OrderExecutor(KvClient kv, HttpClient target, AgentSettings settings) {
         this.kv = kv;
         this.target = target;
         this.settings = settings;
     }
 
-    /** The newest fencing token seen. */
+    /** Returns the highest fencing token seen so far. */
     long highestToken() {
-        return gate.highestToken();
+        return fencingGate.highestToken();
     }
 
-    /** Queues an order behind those before it; the future always succeeds. */
+    /** Queues an order for execution after all earlier orders. The returned future always succeeds. */
     Future<Result> submit(Order order) {
-        last = last.transform(before -> carryOut(order))
+        lastOrder = lastOrder
+                .transform(previous -> execute(order))
                 .otherwise(e -> new Result(OrderStatus.FAILED, String.valueOf(e.getMessage())));
-        return last;
+        return lastOrder;
     }
 
-    private Future<Result> carryOut(Order order) {
+    private Future<Result> execute(Order order) {
         return kv.get(KvKeys.ORDERS + settings.pool())
                 .compose(
                         reply -> {
                             long holder = reply.entries().isEmpty()
                                     ? 0
                                     : reply.entries().get(0).modRevision();
-                            gate.learn(holder);
-                            return holder == order.fencingToken() && gate.admit(order.fencingToken())
+                            fencingGate.learn(holder);
+                            return holder == order.fencingToken() && fencingGate.admit(order.fencingToken())
                                     ? send(order)
-                                    : fenced(order, holder);
+                                    : rejectFenced(order, holder);
                         },
                         e -> Future.succeededFuture(new Result(OrderStatus.UNAVAILABLE, e.getMessage())));
     }
 
-    private Future<Result> fenced(Order order, long holder) {
+    private Future<Result> rejectFenced(Order order, long holder) {
         LOG.warnf("order fenced kind=%s token=%d holder=%d", order.kind(), order.fencingToken(), holder);
         String detail = holder == 0
-                ? "the order lease has lapsed"
-                : "a newer holder has token " + holder + ", this order " + order.fencingToken();
+                ? "the order lease has expired"
+                : "the current holder has token " + holder + ", this order has token " + order.fencingToken();
         return Future.succeededFuture(new Result(OrderStatus.FENCED, detail));
     }
 
@@ -88,8 +89,9 @@
         return target.request(HttpMethod.POST, settings.targetPort(), settings.targetHost(), "/admin/order")
                 .compose(req -> req.send(body.toBuffer()))
                 .compose(resp -> resp.body().map(text -> result(resp, text.toString())))
-                .otherwise(e ->
-                        new Result(OrderStatus.FAILED, "target: " + e.getMessage() + "; it may have taken effect"));
+                .otherwise(e -> new Result(
+                        OrderStatus.FAILED,
+                        "target request failed: " + e.getMessage() + "; the order may have taken effect"));
     }
 
     private static Result result(HttpClientResponse resp, String text) {
--- a/onyxhinge-agent/src/main/java/org/onyxhinge/agent/cli/AgentMain.java
+++ b/onyxhinge-agent/src/main/java/org/onyxhinge/agent/cli/AgentMain.java
@@ -5,10 +5,11 @@
 import com.github.rvesse.airline.parser.errors.ParseException;
 import org.onyxhinge.runtime.Launch;
 
-/** Entry point of the agent binary. Run with {@code --help} for the commands. */
+/** Main class of the agent binary; {@code help} lists the commands. */
 @Cli(
         name = "onyxhinge-agent",
-        description = "onyxhinge agent: reports its target's load to routers and drains it on a planned stop",
+        description =
+                "onyxhinge agent: reports the load of its target to routers and drains the target on a planned stop",
         defaultCommand = Help.class,
         commands = {Help.class, RunCommand.class})
 public final class AgentMain {
--- a/onyxhinge-agent/src/main/java/org/onyxhinge/agent/cli/RunCommand.java
+++ b/onyxhinge-agent/src/main/java/org/onyxhinge/agent/cli/RunCommand.java
@@ -11,7 +11,7 @@
 import org.onyxhinge.runtime.Logs;
 import org.onyxhinge.runtime.Settings;
 
-/** {@code run}: starts an agent and serves until SIGTERM, then drains its target. */
+/** {@code run}: runs an agent until SIGTERM, then drains its target. */
 @Command(name = "run", description = "Run an agent with the settings in an INI file")
 public final class RunCommand implements Runnable {
 
@@ -29,12 +29,12 @@
 
     @Override
     public void run() {
-        var read = Settings.load(Path.of(config)).flatMap(AgentSettings::from);
-        if (read.isLeft()) {
-            Launch.fail(Launch.EXIT_SETTINGS, read.getLeft().getMessage());
+        var loaded = Settings.load(Path.of(config)).flatMap(AgentSettings::from);
+        if (loaded.isLeft()) {
+            Launch.fail(Launch.EXIT_SETTINGS, loaded.getLeft().getMessage());
             return;
         }
-        AgentSettings s = read.get();
+        AgentSettings s = loaded.get();
         Logs.setUp("agent-" + s.agentId(), logLevel);
         AgentNode node;
         try {
--- a/onyxhinge-agent/src/main/java/org/onyxhinge/agent/cli/package-info.java
+++ b/onyxhinge-agent/src/main/java/org/onyxhinge/agent/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The agent binary's command line (Airline): {@code run}. */
+/** Command line of the agent binary, based on Airline: {@code run}. */
 package org.onyxhinge.agent.cli;
--- a/onyxhinge-agent/src/main/java/org/onyxhinge/agent/package-info.java
+++ b/onyxhinge-agent/src/main/java/org/onyxhinge/agent/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The agent: one small process beside each target. It reads its target's load, reports it to every
- * router, holds a lease in the key-value service for its membership and fencing number, and on a
- * planned stop tells routers the target is leaving and waits for work in progress to finish.
+ * The agent, a process that runs alongside each target. It polls the load of the target and reports it to
+ * the routers that subscribed, registers in the key-value service under a lease, forwards orders to the
+ * target after checking their fencing tokens, and relays preemption requests between routers. On a planned
+ * stop it tells the routers that the target is leaving and waits for requests in progress.
  */
 package org.onyxhinge.agent;
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterMetrics.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterMetrics.java
@@ -11,34 +11,34 @@
 import org.onyxhinge.runtime.StatusEndpoints;
 
 /**
- * The router's measures, safe from any thread: goodput by tier (answers delivered whole and in time),
- * wasted prefill (prompt tokens of dispatched requests that delivered no whole answer, an upper
- * bound, since the router cannot see the engine's cache), refusals by reason, and latencies by tier.
+ * The router's metrics: goodput by tier (responses delivered completely and in time), wasted prefill
+ * (prompt tokens of dispatched requests without a complete response; an upper bound, because the router
+ * cannot see the engine's prefix cache), refusals by reason, and latencies by tier. Thread-safe.
  */
 public final class RouterMetrics {
 
     private final MetricRegistry registry = new MetricRegistry();
-    private final Map<String, Latency> firstTokenByTier = new ConcurrentHashMap<>();
-    private final Map<String, Latency> gapByTier = new ConcurrentHashMap<>();
+    private final Map<String, Latency> firstTokenLatencyByTier = new ConcurrentHashMap<>();
+    private final Map<String, Latency> interTokenLatencyByTier = new ConcurrentHashMap<>();
     private final Latency dispatchDelay = Latency.create();
     private final Latency addedLatency = Latency.create();
 
-    /** The Dropwizard registry behind these measures. */
+    /** Returns the underlying Dropwizard registry. */
     public MetricRegistry registry() {
         return registry;
     }
 
-    /** A request arrived. */
+    /** Counts a request that arrived. */
     public void received() {
         registry.meter("requests.received").mark();
     }
 
-    /** A request was refused or stopped. */
+    /** Counts a request that was refused or cancelled. */
     public void refused(RefusalReason reason) {
         registry.meter("requests.refused." + reason.name()).mark();
     }
 
-    /** A whole answer was delivered; {@code inTime} when it met its tier's budgets. */
+    /** Counts a completely delivered response; {@code inTime} is true if it met the time budgets of its tier. */
     public void delivered(String tier, boolean inTime) {
         registry.counter("delivered." + tier).inc();
         if (inTime) {
@@ -46,38 +46,44 @@
         }
     }
 
-    /** Prompt tokens an engine worked on for an answer that was not delivered whole. */
+    /** Counts prompt tokens that an engine processed for a response that was not completely delivered. */
     public void wastedPrefill(int tokens) {
         registry.counter("prefill.wasted.tokens").inc(tokens);
     }
 
-    /** Time from arrival to first token. */
-    public void firstToken(String tier, long us) {
-        firstTokenByTier.computeIfAbsent(tier, t -> Latency.create()).recordUs(us);
+    /** Records the time from the arrival of a request to its first token, in microseconds. */
+    public void firstTokenLatency(String tier, long us) {
+        firstTokenLatencyByTier.computeIfAbsent(tier, t -> Latency.create()).recordUs(us);
     }
 
-    /** Time between two tokens of one answer. */
-    public void gap(String tier, long us) {
-        gapByTier.computeIfAbsent(tier, t -> Latency.create()).recordUs(us);
+    /** Records the time between two consecutive tokens of a response, in microseconds. */
+    public void interTokenLatency(String tier, long us) {
+        interTokenLatencyByTier.computeIfAbsent(tier, t -> Latency.create()).recordUs(us);
     }
 
-    /** Time from arrival to the request being sent to its engine, waiting in the router's queue included. */
+    /**
+     * Records the time from the arrival of a request until it is sent to its engine, in microseconds. This
+     * includes the time in the router's queue.
+     */
     public void dispatchDelay(long us) {
         dispatchDelay.recordUs(us);
     }
 
-    /** Time the router itself added: check, claim, decide, connect; waiting in its queue not included. */
+    /**
+     * Records the latency that the router itself adds, in microseconds: validation, idempotency claim,
+     * scheduling decision and connect, without the time in its queue.
+     */
     public void addedLatency(long us) {
         addedLatency.recordUs(us);
     }
 
-    /** Everything as JSON, for the state dump and the load tool. */
+    /** Returns all metrics as JSON, for the state dump and the load tool. */
     public JsonObject toJson() {
         JsonObject out = StatusEndpoints.toJson(registry);
         JsonObject first = new JsonObject();
-        new TreeMap<>(firstTokenByTier).forEach((t, l) -> first.put(t, l.summary()));
+        new TreeMap<>(firstTokenLatencyByTier).forEach((t, l) -> first.put(t, l.summary()));
         JsonObject gaps = new JsonObject();
-        new TreeMap<>(gapByTier).forEach((t, l) -> gaps.put(t, l.summary()));
+        new TreeMap<>(interTokenLatencyByTier).forEach((t, l) -> gaps.put(t, l.summary()));
         return out.put("firstTokenByTier", first)
                 .put("gapByTier", gaps)
                 .put("dispatchDelay", dispatchDelay.summary())
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterNode.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterNode.java
@@ -29,14 +29,14 @@
 import org.onyxhinge.core.schedule.Scheduler;
 import org.onyxhinge.router.admin.AdminService;
 import org.onyxhinge.router.config.ConfigStore;
-import org.onyxhinge.router.dispatch.Claims;
 import org.onyxhinge.router.dispatch.ControlPlane;
-import org.onyxhinge.router.dispatch.Flight;
-import org.onyxhinge.router.dispatch.OnceRegistry;
+import org.onyxhinge.router.dispatch.IdempotencyClaims;
+import org.onyxhinge.router.dispatch.IdempotencyRegistry;
+import org.onyxhinge.router.dispatch.InFlightRequest;
 import org.onyxhinge.router.dispatch.RefusedException;
 import org.onyxhinge.router.order.OrderService;
-import org.onyxhinge.router.peer.AgentLinks;
-import org.onyxhinge.router.peer.PeerListener;
+import org.onyxhinge.router.peer.AgentConnections;
+import org.onyxhinge.router.peer.AgentMessageListener;
 import org.onyxhinge.wire.MonotonicClock;
 import org.onyxhinge.wire.kv.KvClient;
 import org.onyxhinge.wire.kv.KvKeys;
@@ -44,97 +44,98 @@
 import org.onyxhinge.wire.peer.PeerMessage;
 
 /**
- * One router process, assembled: the key-value client and configuration, the scheduler and the
- * agents' connections on the control context; the callers' HTTP on traffic contexts; the operators'
- * gRPC service. Every call into the scheduler hops to the control context first.
+ * A router process. The key-value client, the configuration, the scheduler, the connections to agents and
+ * the gRPC service for operators run on the control context; the HTTP API for callers runs on the traffic
+ * contexts. All calls to the scheduler are made on the control context.
  */
-public final class RouterNode implements ControlPlane, PeerListener, AutoCloseable {
+public final class RouterNode implements ControlPlane, AgentMessageListener, AutoCloseable {
 
     private static final Logger LOG = Logger.getLogger(RouterNode.class);
-    private static final long TICK_MS = 20;
-    private static final long IDLE_TICK_MS = 1_000;
-    private static final int MAX_ROOM_ASKS = 10_000;
-    private static final long DRAIN_POLL_MS = 50;
-    private static final long STORE_RETRY_MS = 1_000;
+    private static final long TICK_INTERVAL_MS = 20;
+    private static final long IDLE_TICK_INTERVAL_MS = 1_000;
+    private static final int MAX_PENDING_PREEMPTIONS = 10_000;
+    private static final long DRAIN_POLL_INTERVAL_MS = 50;
+    private static final long STORE_RETRY_AFTER_MS = 1_000;
 
     private final RouterSettings settings;
     private final Vertx vertx;
-    private final Context control;
+    private final Context controlContext;
     private final RouterMetrics metrics = new RouterMetrics();
-    private final RequestIds ids;
+    private final RequestIdGenerator requestIds;
     private final Scheduler scheduler;
-    private final Map<String, Flight> flights = new HashMap<>();
-    private final Map<Long, String> roomAsks = new LinkedHashMap<>() {
+    private final Map<String, InFlightRequest> inFlight = new HashMap<>();
+    private final Map<Long, String> pendingPreemptions = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, String> eldest) {
-            return size() > MAX_ROOM_ASKS;
+            return size() > MAX_PENDING_PREEMPTIONS;
         }
     };
     private KvClient kv;
     private ConfigStore config;
-    private Claims claims;
-    private AgentLinks agents;
+    private IdempotencyClaims claims;
+    private AgentConnections agentConnections;
     private OrderService orders;
-    private long nextAskId = 1;
+    private long nextPreemptionId = 1;
     private long tickTimer = -1;
-    private HttpServer admin;
+    private HttpServer adminServer;
     private LeaseKeeper membership;
     private volatile boolean draining;
 
     private RouterNode(RouterSettings settings, Vertx vertx) {
         this.settings = settings;
         this.vertx = vertx;
-        this.control = vertx.getOrCreateContext();
-        this.ids = RequestIds.of(settings.routerId(), System.currentTimeMillis());
+        this.controlContext = vertx.getOrCreateContext();
+        this.requestIds = RequestIdGenerator.of(settings.routerId(), System.currentTimeMillis());
         this.scheduler = Scheduler.create(settings.scheduler());
     }
 
-    /** Starts a router; the future completes once it serves callers. */
+    /** Starts a router; the future completes when it accepts requests. */
     public static Future<RouterNode> start(RouterSettings settings) {
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(settings.trafficThreads() + 1));
         RouterNode node = new RouterNode(settings, vertx);
-        return node.onControl(node::startOnControl);
+        return node.onControlContext(node::startOnControlContext);
     }
 
-    /** The settings it runs with. */
+    /** Returns the settings. */
     public RouterSettings settings() {
         return settings;
     }
 
-    /** Its measures. */
+    /** Returns the metrics. */
     public RouterMetrics metrics() {
         return metrics;
     }
 
-    /** Its request ids. */
-    public RequestIds ids() {
-        return ids;
+    /** Returns the generator of request ids. */
+    public RequestIdGenerator requestIds() {
+        return requestIds;
     }
 
-    /** The configuration in force. Safe from any thread. */
+    /** Returns the configuration in force. Thread-safe. */
     public ClusterConfig config() {
         return config == null ? ClusterConfig.empty() : config.current();
     }
 
-    /** True once a planned stop has begun. */
+    /** Returns true once a planned stop has begun. Thread-safe. */
     public boolean draining() {
         return draining;
     }
 
-    /** A state dump, built on the control thread. Safe from any thread. */
+    /** Returns a state dump, which is built on the control context. Thread-safe. */
     public Future<JsonObject> dump() {
-        return onControl(() -> Future.succeededFuture(buildDump()));
+        return onControlContext(() -> Future.succeededFuture(buildStateDump()));
     }
 
-    private Future<RouterNode> startOnControl() {
+    private Future<RouterNode> startOnControlContext() {
         kv = KvClient.connect(vertx, settings.kvHost(), settings.kvPort(), settings.kvCallTimeoutMs());
         config = ConfigStore.create(kv, c -> scheduler.lowestRank(c.lowestRank()));
-        claims = Claims.create(vertx, OnceRegistry.create(vertx, kv, settings.onceWindowMs()));
+        claims = IdempotencyClaims.create(vertx, IdempotencyRegistry.create(vertx, kv, settings.idempotencyWindowMs()));
         return config.start(vertx)
                 .compose(c -> {
-                    agents = AgentLinks.start(vertx, kv, this, settings.routerId(), settings.enginesPerPool());
+                    agentConnections =
+                            AgentConnections.start(vertx, kv, this, settings.routerId(), settings.enginesPerPool());
                     orders = OrderService.create(vertx, kv, settings.routerId(), settings.orderLeaseMs());
                     return startAdmin();
                 })
@@ -142,16 +143,16 @@
                         () -> new TrafficVerticle(this),
                         new DeploymentOptions().setInstances(settings.trafficThreads())))
                 .map(id -> {
-                    tickLater();
+                    scheduleTick();
                     register();
                     LOG.infof(
                             "router started id=%s http=%s:%d admin=%d",
-                            settings.routerId(), settings.host(), settings.httpPort(), admin.actualPort());
+                            settings.routerId(), settings.host(), settings.httpPort(), adminServer.actualPort());
                     return this;
                 });
     }
 
-    /** Makes this router visible to operators among the routers. */
+    /** Registers this router in the key-value service, where operators look up the routers. */
     private void register() {
         String address = settings.advertiseHost() + ":" + settings.httpPort();
         membership = LeaseKeeper.hold(
@@ -164,95 +165,95 @@
 
     private Future<HttpServer> startAdmin() {
         GrpcServer grpc = GrpcServer.server(vertx);
-        AdminService.mount(grpc, config, orders, control);
-        admin = vertx.createHttpServer(new HttpServerOptions().setHttp2ClearTextEnabled(true));
-        return admin.requestHandler(grpc).listen(settings.adminPort(), settings.host());
+        AdminService.mount(grpc, config, orders, controlContext);
+        adminServer = vertx.createHttpServer(new HttpServerOptions().setHttp2ClearTextEnabled(true));
+        return adminServer.requestHandler(grpc).listen(settings.adminPort(), settings.host());
     }
 
     @Override
-    public void submit(Flight f) {
-        control.runOnContext(v -> {
-            boolean idle = flights.isEmpty();
-            flights.put(f.spec().requestId(), f);
+    public void submit(InFlightRequest f) {
+        controlContext.runOnContext(v -> {
+            boolean idle = inFlight.isEmpty();
+            inFlight.put(f.spec().requestId(), f);
             if (idle) {
-                tickLater();
+                scheduleTick();
             }
             if (!f.spec().nonIdempotent()) {
                 schedule(f);
                 return;
             }
-            claims.take(f.spec(), f.spec().firstTokenDueAtMs() - MonotonicClock.nowMs())
-                    .onSuccess(taken -> claimed(f))
-                    .onFailure(e -> refuseUnscheduled(f, e));
+            claims.acquire(f.spec(), f.spec().firstTokenDueAtMs() - MonotonicClock.nowMs())
+                    .onSuccess(acquired -> onClaimAcquired(f))
+                    .onFailure(e -> refuseBeforeScheduling(f, e));
         });
     }
 
-    private void schedule(Flight f) {
+    private void schedule(InFlightRequest f) {
         int limit = config().workspace(f.spec().workspace())
                 .map(Workspace::maxInFlight)
                 .orElse(0);
         List<Action> actions = scheduler.submit(f.spec(), limit, MonotonicClock.nowMs());
-        f.decided(System.nanoTime());
+        f.markDecided(System.nanoTime());
         execute(actions);
     }
 
-    /** The claim is in the store; schedules the request unless its caller left meanwhile. */
-    private void claimed(Flight f) {
-        if (flights.containsKey(f.spec().requestId())) {
+    /** Schedules a request after its idempotency claim was stored, unless its caller has disconnected. */
+    private void onClaimAcquired(InFlightRequest f) {
+        if (inFlight.containsKey(f.spec().requestId())) {
             schedule(f);
         } else {
-            claims.ended(f.spec().requestId(), false);
+            claims.requestEnded(f.spec().requestId(), false);
         }
     }
 
-    private void refuseUnscheduled(Flight f, Throwable e) {
-        flights.remove(f.spec().requestId());
+    private void refuseBeforeScheduling(InFlightRequest f, Throwable e) {
+        inFlight.remove(f.spec().requestId());
         Refusal refusal = e instanceof RefusedException r
                 ? r.refusal()
-                : Refusal.of(RefusalReason.STORE_UNAVAILABLE, e.getMessage(), STORE_RETRY_MS);
-        f.traffic().runOnContext(v -> f.dispatcher().refuse(f, refusal));
+                : Refusal.of(RefusalReason.STORE_UNAVAILABLE, e.getMessage(), STORE_RETRY_AFTER_MS);
+        f.trafficContext().runOnContext(v -> f.dispatcher().refuse(f, refusal));
     }
 
     @Override
     public void firstToken(String requestId) {
-        control.runOnContext(v -> scheduler.firstToken(requestId, MonotonicClock.nowMs()));
+        controlContext.runOnContext(v -> scheduler.firstToken(requestId, MonotonicClock.nowMs()));
     }
 
     @Override
     public void unsent(String requestId) {
-        control.runOnContext(v -> execute(scheduler.unsent(requestId, MonotonicClock.nowMs())));
+        controlContext.runOnContext(v -> execute(scheduler.unsent(requestId, MonotonicClock.nowMs())));
     }
 
     @Override
     public void ended(String requestId, boolean sent) {
-        control.runOnContext(v -> {
-            flights.remove(requestId);
-            claims.ended(requestId, sent);
+        controlContext.runOnContext(v -> {
+            inFlight.remove(requestId);
+            claims.requestEnded(requestId, sent);
             execute(scheduler.ended(requestId, MonotonicClock.nowMs()));
         });
     }
 
     @Override
-    public void received(String engineId, PeerMessage.ToRouter message) {
+    public void messageReceived(String engineId, PeerMessage.ToRouter message) {
         switch (message) {
-            case PeerMessage.Hello h -> hello(h);
+            case PeerMessage.Hello h -> engineConnected(h);
             case PeerMessage.Load l -> execute(scheduler.engineReported(l.toReport(engineId), MonotonicClock.nowMs()));
             case PeerMessage.Bye b -> {
                 LOG.infof("engine leaving engine=%s", engineId);
                 scheduler.engineDraining(engineId);
             }
-            case PeerMessage.Yield y -> makeRoom(engineId, y);
+            case PeerMessage.Yield y -> preemptForOtherRouter(engineId, y);
             case PeerMessage.RoomReply r -> {
-                String requestId = roomAsks.remove(r.askId());
+                String requestId = pendingPreemptions.remove(r.askId());
                 if (requestId != null) {
                     execute(scheduler.roomAnswered(requestId, r.made(), MonotonicClock.nowMs()));
                 }
             }
-            case PeerMessage.OrderReply o -> LOG.warnf("order reply not expected engine=%s", engineId);
+            case PeerMessage.OrderReply o -> LOG.warnf("unexpected order reply engine=%s", engineId);
         }
     }
 
-    private void hello(PeerMessage.Hello hello) {
+    private void engineConnected(PeerMessage.Hello hello) {
         EngineInfo info = hello.engine();
         LOG.infof(
                 "engine joined engine=%s pool=%s agent=%s address=%s:%d",
@@ -260,27 +261,30 @@
         execute(scheduler.engineJoined(info, MonotonicClock.nowMs()));
     }
 
-    /** Another router needs room: stops one lower-tier request of this router, if it has one there. */
-    private void makeRoom(String engineId, PeerMessage.Yield y) {
+    /**
+     * Handles a preemption request of another router: stops one of this router's lower-tier requests on the
+     * engine, if there is one, and reports whether it did.
+     */
+    private void preemptForOtherRouter(String engineId, PeerMessage.Yield y) {
         Optional<Action> stopped = scheduler.makeRoom(engineId, y.rank());
         stopped.ifPresent(a -> execute(List.of(a)));
-        agents.send(engineId, new PeerMessage.Yielded(y.turnId(), stopped.isPresent()));
+        agentConnections.send(engineId, new PeerMessage.Yielded(y.turnId(), stopped.isPresent()));
     }
 
-    private void askRoom(Action.AskRoom ask) {
-        long askId = nextAskId++;
-        PeerMessage.RoomRequest request =
-                new PeerMessage.RoomRequest(askId, ask.spec().tier().rank());
-        if (agents.send(ask.engineId(), request)) {
-            roomAsks.put(askId, ask.requestId());
+    private void requestPreemption(Action.AskRoom action) {
+        long preemptionId = nextPreemptionId++;
+        PeerMessage.RoomRequest message =
+                new PeerMessage.RoomRequest(preemptionId, action.spec().tier().rank());
+        if (agentConnections.send(action.engineId(), message)) {
+            pendingPreemptions.put(preemptionId, action.requestId());
         } else {
-            execute(scheduler.roomAnswered(ask.requestId(), false, MonotonicClock.nowMs()));
+            execute(scheduler.roomAnswered(action.requestId(), false, MonotonicClock.nowMs()));
         }
     }
 
     private void execute(List<Action> actions) {
         for (Action a : actions) {
-            Flight f = flights.get(a.requestId());
+            InFlightRequest f = inFlight.get(a.requestId());
             if (f == null) {
                 execute(scheduler.ended(a.requestId(), MonotonicClock.nowMs()));
             } else {
@@ -289,37 +293,37 @@
         }
     }
 
-    private void execute(Action action, Flight f) {
+    private void execute(Action action, InFlightRequest f) {
         switch (action) {
             case Action.Dispatch d ->
-                f.traffic().runOnContext(v -> f.dispatcher().dispatch(f, d.engine()));
+                f.trafficContext().runOnContext(v -> f.dispatcher().dispatch(f, d.engine()));
             case Action.Refuse r -> {
-                flights.remove(r.requestId());
-                claims.ended(r.requestId(), false);
-                f.traffic().runOnContext(v -> f.dispatcher().refuse(f, r.refusal()));
+                inFlight.remove(r.requestId());
+                claims.requestEnded(r.requestId(), false);
+                f.trafficContext().runOnContext(v -> f.dispatcher().refuse(f, r.refusal()));
             }
-            case Action.AskRoom ask -> askRoom(ask);
+            case Action.AskRoom request -> requestPreemption(request);
             case Action.Cancel c -> {
-                flights.remove(c.requestId());
-                f.traffic().runOnContext(v -> f.dispatcher().cancel(f, c.refusal()));
+                inFlight.remove(c.requestId());
+                f.trafficContext().runOnContext(v -> f.dispatcher().cancel(f, c.refusal()));
             }
         }
     }
 
-    /** Looks at queues and deadlines often while there are requests, and seldom while there are none. */
-    private void tickLater() {
+    /** Schedules the next scheduler tick: a short interval while requests are in flight, a long one otherwise. */
+    private void scheduleTick() {
         vertx.cancelTimer(tickTimer);
-        tickTimer = vertx.setTimer(flights.isEmpty() ? IDLE_TICK_MS : TICK_MS, t -> {
+        tickTimer = vertx.setTimer(inFlight.isEmpty() ? IDLE_TICK_INTERVAL_MS : TICK_INTERVAL_MS, t -> {
             execute(scheduler.tick(MonotonicClock.nowMs()));
-            tickLater();
+            scheduleTick();
         });
     }
 
-    private JsonObject buildDump() {
+    private JsonObject buildStateDump() {
         Map<String, Integer> byState = new TreeMap<>();
-        flights.values().forEach(f -> byState.merge(f.state(), 1, Integer::sum));
-        JsonObject flightStates = new JsonObject();
-        byState.forEach(flightStates::put);
+        inFlight.values().forEach(f -> byState.merge(f.state(), 1, Integer::sum));
+        JsonObject inFlightByState = new JsonObject();
+        byState.forEach(inFlightByState::put);
         return new JsonObject()
                 .put("process", "router")
                 .put("routerId", settings.routerId())
@@ -329,39 +333,39 @@
                 .put("kvConnected", kv.connected())
                 .put("kvCalls", kv.callCount())
                 .put("membershipHeld", membership != null && membership.held())
-                .put("agentsKnown", agents.known())
-                .put("peerFramesIn", agents.traffic().framesIn())
-                .put("peerBytesIn", agents.traffic().bytesIn())
-                .put("peerBytesOut", agents.traffic().bytesOut())
-                .put("flights", flightStates)
+                .put("agentsKnown", agentConnections.knownAgents())
+                .put("peerFramesIn", agentConnections.traffic().framesIn())
+                .put("peerBytesIn", agentConnections.traffic().bytesIn())
+                .put("peerBytesOut", agentConnections.traffic().bytesOut())
+                .put("flights", inFlightByState)
                 .put("scheduler", SnapshotJson.of(scheduler.snapshot(), MonotonicClock.nowMs()))
                 .put("metrics", metrics.toJson());
     }
 
     /**
-     * A planned stop: refuses new work honestly, leaves the membership so agents stop reporting, waits
-     * up to the drain timeout for requests in progress to finish, then closes.
+     * Performs a planned stop: refuses new requests, releases the membership lease so that the router is no
+     * longer listed, waits up to the drain timeout for requests in progress, then closes.
      */
     public Future<Void> drain() {
         Promise<Void> done = Promise.promise();
-        control.runOnContext(v -> {
+        controlContext.runOnContext(v -> {
             draining = true;
-            LOG.infof("router draining id=%s inFlight=%d", settings.routerId(), flights.size());
+            LOG.infof("router draining id=%s inFlight=%d", settings.routerId(), inFlight.size());
             if (membership != null) {
                 membership.release();
             }
-            waitForFlights(MonotonicClock.nowMs() + settings.drainTimeoutMs(), done);
+            awaitInFlight(MonotonicClock.nowMs() + settings.drainTimeoutMs(), done);
         });
         return done.future().compose(v -> vertx.close());
     }
 
-    private void waitForFlights(long untilMs, Promise<Void> done) {
-        if (flights.isEmpty() || MonotonicClock.nowMs() >= untilMs) {
-            LOG.infof("router drained id=%s left=%d", settings.routerId(), flights.size());
+    private void awaitInFlight(long untilMs, Promise<Void> done) {
+        if (inFlight.isEmpty() || MonotonicClock.nowMs() >= untilMs) {
+            LOG.infof("router drained id=%s left=%d", settings.routerId(), inFlight.size());
             done.complete();
             return;
         }
-        vertx.setTimer(DRAIN_POLL_MS, t -> waitForFlights(untilMs, done));
+        vertx.setTimer(DRAIN_POLL_INTERVAL_MS, t -> awaitInFlight(untilMs, done));
     }
 
     @Override
@@ -369,9 +373,9 @@
         vertx.close();
     }
 
-    private <T> Future<T> onControl(Supplier<Future<T>> work) {
+    private <T> Future<T> onControlContext(Supplier<Future<T>> action) {
         Promise<T> p = Promise.promise();
-        control.runOnContext(v -> work.get().onComplete(p));
+        controlContext.runOnContext(v -> action.get().onComplete(p));
         return p.future();
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterSettings.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterSettings.java
@@ -7,26 +7,26 @@
 import org.onyxhinge.runtime.SettingsException;
 
 /**
- * The router's settings, read from the INI sections {@code [router]}, {@code [kv]} and {@code
+ * Settings of a router, read from the INI sections {@code [router]}, {@code [kv]} and {@code
  * [scheduler]}. See {@code examples/router.ini}.
  *
- * @param routerId unique id of this router
- * @param dataCentre data centre it runs in
- * @param host address it listens on
- * @param httpPort callers' HTTP port
- * @param adminPort operators' gRPC port
- * @param enginesPerPool most engines of one pool this router follows
- * @param advertiseHost address given in its membership, for operators
- * @param trafficThreads event loops for callers' traffic
- * @param maxBodyBytes largest request body accepted
- * @param kvHost key-value service address
- * @param kvPort key-value service port
- * @param kvCallTimeoutMs time a key-value call may take
- * @param leaseTtlMs time to live of the router's membership lease
- * @param drainTimeoutMs how long a planned stop waits for requests in progress
- * @param orderLeaseMs time to live of the lease under which it gives a pool an order
- * @param onceWindowMs how long the idempotency key of a non-idempotent request is remembered
- * @param scheduler scheduler knobs
+ * @param routerId unique id of the router
+ * @param dataCentre data centre in which the router runs
+ * @param host listen address
+ * @param httpPort port of the HTTP API for callers
+ * @param adminPort port of the gRPC service for operators
+ * @param enginesPerPool maximum number of engines per pool to whose agents the router connects
+ * @param advertiseHost address that the router registers for operators
+ * @param trafficThreads number of event loops for callers' traffic
+ * @param maxBodyBytes maximum size of a request body
+ * @param kvHost address of the key-value service
+ * @param kvPort port of the key-value service
+ * @param kvCallTimeoutMs timeout of a call to the key-value service
+ * @param leaseTtlMs time to live of the membership lease
+ * @param drainTimeoutMs maximum time that a planned stop waits for requests in progress
+ * @param orderLeaseMs time to live of the lease under which an order to a pool is sent
+ * @param idempotencyWindowMs time for which the idempotency key of a non-idempotent request is kept
+ * @param scheduler settings of the scheduler
  */
 public record RouterSettings(
         String routerId,
@@ -44,10 +44,10 @@
         long leaseTtlMs,
         long drainTimeoutMs,
         long orderLeaseMs,
-        long onceWindowMs,
+        long idempotencyWindowMs,
         SchedulerSettings scheduler) {
 
-    /** Reads and checks the settings; the left side names every bad key. */
+    /** Reads and validates the settings; the left side names every invalid key. */
     public static Either<SettingsException, RouterSettings> from(Settings s) {
         SchedulerSettings defaults = SchedulerSettings.defaults();
         RouterSettings r = new RouterSettings(
@@ -80,11 +80,11 @@
     }
 
     private static RoutingPolicy policy(Settings s) {
-        RoutingPolicy product = new RoutingPolicy.EarliestFirstToken();
-        String name = s.text("scheduler", "policy", product.settingName());
+        RoutingPolicy defaultPolicy = new RoutingPolicy.EarliestFirstToken();
+        String name = s.text("scheduler", "policy", defaultPolicy.settingName());
         return RoutingPolicy.ofSetting(name).orElseGet(() -> {
             s.problem("scheduler", "policy", "must be one of " + RoutingPolicy.settingNames() + ", got '" + name + "'");
-            return product;
+            return defaultPolicy;
         });
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/SnapshotJson.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/SnapshotJson.java
@@ -4,7 +4,7 @@
 import io.vertx.core.json.JsonObject;
 import org.onyxhinge.core.schedule.SchedulerSnapshot;
 
-/** Renders the scheduler's snapshot for the state dump. */
+/** Converts the scheduler's snapshot to JSON for the state dump. */
 final class SnapshotJson {
 
     private SnapshotJson() {}
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/TrafficVerticle.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/TrafficVerticle.java
@@ -12,12 +12,12 @@
 import org.onyxhinge.runtime.StatusEndpoints;
 
 /**
- * One event loop of callers' traffic: its share of the callers' HTTP port, and its own HTTP client to
- * the targets. Several instances share the port.
+ * Serves callers' traffic on one event loop, with its own HTTP client for the targets. Several instances
+ * share the HTTP port.
  */
 final class TrafficVerticle extends VerticleBase {
 
-    private static final int POOL_PER_TARGET = 256;
+    private static final int MAX_CONNECTIONS_PER_TARGET = 256;
 
     private final RouterNode node;
 
@@ -30,7 +30,7 @@
         RouterSettings s = node.settings();
         var client = vertx.createHttpClient(
                 new HttpClientOptions().setKeepAlive(true).setTcpNoDelay(true),
-                new PoolOptions().setHttp1MaxSize(POOL_PER_TARGET));
+                new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS_PER_TARGET));
         Dispatcher dispatcher = Dispatcher.create(client, node, node.metrics());
         Router router = Router.router(vertx);
         CallerApi.mount(
@@ -38,7 +38,7 @@
                 s.maxBodyBytes(),
                 context,
                 dispatcher,
-                new CallerApi.Parts(node, node.metrics(), node::config, node::draining, node.ids()));
+                new CallerApi.Dependencies(node, node.metrics(), node::config, node::draining, node.requestIds()));
         StatusEndpoints status = StatusEndpoints.create(node.metrics().registry(), node::dump, () -> !node.draining());
         StatusEndpoints.PATHS.forEach(path -> router.get(path).handler(ctx -> status.handle(ctx.request())));
         HttpServer server = vertx.createHttpServer(new HttpServerOptions().setTcpNoDelay(true));
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/admin/AdminClient.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/admin/AdminClient.java
@@ -27,9 +27,9 @@
 import org.onyxhinge.core.order.OrderKind;
 
 /**
- * A client of a router's {@code onyxhinge.admin.v1.Admin} service, used by the CLI and the demo.
- * {@link #apply} writes each object against the version it read, so a change made by another
- * operator in between is reported as a conflict, not overwritten.
+ * Client of a router's {@code onyxhinge.admin.v1.Admin} service. {@link #apply} writes each object with
+ * the version that it read before as the expected version, so that a concurrent change by another
+ * operator is reported as a conflict and not overwritten.
  */
 public final class AdminClient implements AutoCloseable {
 
@@ -41,7 +41,7 @@
         this.address = SocketAddress.inetSocketAddress(port, host);
     }
 
-    /** Creates a client of the router's admin port. */
+    /** Creates a client of the router whose admin port is given. */
     public static AdminClient create(Vertx vertx, String host, int port) {
         return new AdminClient(vertx, host, port);
     }
@@ -51,23 +51,26 @@
         return call(AdminMethods.GET_CONFIG_CALL, GetConfigRequest.getDefaultInstance());
     }
 
-    /** Writes each object against its version in force now; stops at the first refusal. */
+    /**
+     * Writes the objects in order, each with its version in force as the expected version. Stops at the
+     * first write that fails.
+     */
     public Future<List<PutReply>> apply(List<Message> objects) {
         return show().compose(current -> {
             Future<List<PutReply>> chain = Future.succeededFuture(new java.util.ArrayList<>());
             for (Message m : objects) {
-                chain = chain.compose(done -> put(m, versionOf(current, m)).map(r -> {
-                    done.add(r);
-                    return done;
+                chain = chain.compose(replies -> put(m, versionOf(current, m)).map(r -> {
+                    replies.add(r);
+                    return replies;
                 }));
             }
             return chain;
         });
     }
 
-    /** Writes one object if its version is {@code expectedVersion}. */
+    /** Writes one object if its current version is {@code expectedVersion}. */
     public Future<PutReply> put(Message m, long expectedVersion) {
-        String op = UUID.randomUUID().toString();
+        String operationId = UUID.randomUUID().toString();
         return switch (m) {
             case TierSpec t ->
                 call(
@@ -75,7 +78,7 @@
                         PutTierRequest.newBuilder()
                                 .setTier(t)
                                 .setExpectedVersion(expectedVersion)
-                                .setOperationId(op)
+                                .setOperationId(operationId)
                                 .build());
             case WorkspaceSpec w ->
                 call(
@@ -83,7 +86,7 @@
                         PutWorkspaceRequest.newBuilder()
                                 .setWorkspace(w)
                                 .setExpectedVersion(expectedVersion)
-                                .setOperationId(op)
+                                .setOperationId(operationId)
                                 .build());
             case ServiceSpec s ->
                 call(
@@ -91,7 +94,7 @@
                         PutServiceRequest.newBuilder()
                                 .setService(s)
                                 .setExpectedVersion(expectedVersion)
-                                .setOperationId(op)
+                                .setOperationId(operationId)
                                 .build());
             case PoolSpec p ->
                 call(
@@ -99,13 +102,13 @@
                         PutPoolRequest.newBuilder()
                                 .setPool(p)
                                 .setExpectedVersion(expectedVersion)
-                                .setOperationId(op)
+                                .setOperationId(operationId)
                                 .build());
             default -> Future.failedFuture(new IllegalArgumentException("not a configuration object: " + m));
         };
     }
 
-    /** Gives an order to every target of a pool. */
+    /** Sends an order to every target of a pool. */
     public Future<OrderPoolReply> order(String pool, OrderKind kind, String argument) {
         return call(
                 AdminMethods.ORDER_POOL_CALL,
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/admin/AdminService.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/admin/AdminService.java
@@ -28,10 +28,10 @@
 import org.onyxhinge.router.order.OrderService;
 
 /**
- * Serves {@code onyxhinge.admin.v1.Admin}: each put is checked, then written by compare-and-swap
- * through the {@link ConfigStore}. Bad objects are answered {@code INVALID_ARGUMENT}, version
- * conflicts {@code ABORTED} naming the version in force, and an unreachable store {@code UNAVAILABLE};
- * nothing is written in any of these cases.
+ * Implementation of {@code onyxhinge.admin.v1.Admin}. Each put is validated, then written by
+ * compare-and-swap through the {@link ConfigStore}. The status is {@code INVALID_ARGUMENT} for an invalid
+ * object, {@code ABORTED} for a version conflict, with a message that gives the version in force, and
+ * {@code UNAVAILABLE} if the store is unavailable. With the first two, nothing has been written.
  */
 public final class AdminService {
 
@@ -39,22 +39,22 @@
 
     private final ConfigStore store;
     private final OrderService orders;
-    private final Context control;
+    private final Context controlContext;
 
-    private AdminService(ConfigStore store, OrderService orders, Context control) {
+    private AdminService(ConfigStore store, OrderService orders, Context controlContext) {
         this.store = store;
         this.orders = orders;
-        this.control = control;
+        this.controlContext = controlContext;
     }
 
     /** Registers the service's methods on a Vert.x gRPC server. */
-    public static void mount(GrpcServer server, ConfigStore store, OrderService orders, Context control) {
-        AdminService s = new AdminService(store, orders, control);
+    public static void mount(GrpcServer server, ConfigStore store, OrderService orders, Context controlContext) {
+        AdminService s = new AdminService(store, orders, controlContext);
         server.callHandler(
                 AdminMethods.PUT_TIER,
                 req -> s.put(
                         req,
-                        r -> new Write(
+                        r -> new ConfigWrite(
                                 ConfigKind.TIER,
                                 r.getTier().getName(),
                                 () -> ProtoMapping.tier(r.getTier()),
@@ -64,7 +64,7 @@
                 AdminMethods.PUT_WORKSPACE,
                 req -> s.put(
                         req,
-                        r -> new Write(
+                        r -> new ConfigWrite(
                                 ConfigKind.WORKSPACE,
                                 r.getWorkspace().getName(),
                                 () -> ProtoMapping.workspace(r.getWorkspace()),
@@ -74,7 +74,7 @@
                 AdminMethods.PUT_SERVICE,
                 req -> s.put(
                         req,
-                        r -> new Write(
+                        r -> new ConfigWrite(
                                 ConfigKind.SERVICE,
                                 r.getService().getName(),
                                 () -> ProtoMapping.service(r.getService()),
@@ -84,7 +84,7 @@
                 AdminMethods.PUT_POOL,
                 req -> s.put(
                         req,
-                        r -> new Write(
+                        r -> new ConfigWrite(
                                 ConfigKind.POOL,
                                 r.getPool().getName(),
                                 () -> ProtoMapping.pool(r.getPool()),
@@ -94,12 +94,12 @@
         server.callHandler(AdminMethods.ORDER_POOL, req -> req.handler(msg -> s.order(req, msg)));
     }
 
-    private record Write(
+    private record ConfigWrite(
             ConfigKind kind, String name, Supplier<Record> value, long expectedVersion, String operationId) {}
 
-    private <T> void put(GrpcServerRequest<T, PutReply> req, Function<T, Write> toWrite) {
+    private <T> void put(GrpcServerRequest<T, PutReply> req, Function<T, ConfigWrite> toWrite) {
         req.handler(msg -> {
-            Write w = toWrite.apply(msg);
+            ConfigWrite w = toWrite.apply(msg);
             Record value;
             try {
                 value = w.value().get();
@@ -110,10 +110,11 @@
                         .end();
                 return;
             }
-            String op = w.operationId().isEmpty() ? java.util.UUID.randomUUID().toString() : w.operationId();
-            onControl(() -> store.put(w.kind(), w.name(), value, w.expectedVersion(), op))
-                    .onSuccess(out -> req.response().end(reply(out)))
-                    .onFailure(e -> fail(req, w, e));
+            String operationId =
+                    w.operationId().isEmpty() ? java.util.UUID.randomUUID().toString() : w.operationId();
+            onControlContext(() -> store.put(w.kind(), w.name(), value, w.expectedVersion(), operationId))
+                    .onSuccess(out -> req.response().end(putReply(out)))
+                    .onFailure(e -> respondFailure(req, w, e));
         });
     }
 
@@ -128,7 +129,7 @@
             return;
         }
         OrderKind kind = OrderKind.valueOf(msg.getKind().name());
-        onControl(() -> orders.order(msg.getPool(), kind, msg.getArgument()))
+        onControlContext(() -> orders.order(msg.getPool(), kind, msg.getArgument()))
                 .onSuccess(out -> req.response().end(orderReply(out)))
                 .onFailure(e -> req.response()
                         .status(
@@ -149,7 +150,7 @@
         return b.build();
     }
 
-    private static PutReply reply(PutOutcome out) {
+    private static PutReply putReply(PutOutcome out) {
         return PutReply.newBuilder()
                 .setVersion(out.version())
                 .setRevision(out.revision())
@@ -157,15 +158,15 @@
                 .build();
     }
 
-    private void fail(GrpcServerRequest<?, PutReply> req, Write w, Throwable e) {
+    private void respondFailure(GrpcServerRequest<?, PutReply> req, ConfigWrite w, Throwable e) {
         GrpcStatus status =
                 e instanceof ConfigException c && c.isConflict() ? GrpcStatus.ABORTED : GrpcStatus.UNAVAILABLE;
-        LOG.infof("admin put refused kind=%s name=%s status=%s error=%s", w.kind(), w.name(), status, e.getMessage());
+        LOG.infof("admin put failed kind=%s name=%s status=%s error=%s", w.kind(), w.name(), status, e.getMessage());
         req.response().status(status).statusMessage(e.getMessage()).end();
     }
 
     private void getConfig(GrpcServerRequest<?, ConfigReply> req) {
-        onControl(() -> Future.succeededFuture(configReply(store.current())))
+        onControlContext(() -> Future.succeededFuture(configReply(store.current())))
                 .onSuccess(reply -> req.response().end(reply));
     }
 
@@ -181,9 +182,9 @@
         return b.build();
     }
 
-    private <T> Future<T> onControl(Supplier<Future<T>> work) {
+    private <T> Future<T> onControlContext(Supplier<Future<T>> action) {
         Promise<T> p = Promise.promise();
-        control.runOnContext(v -> work.get().onComplete(p));
+        controlContext.runOnContext(v -> action.get().onComplete(p));
         return p.future();
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/admin/ProtoMapping.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/admin/ProtoMapping.java
@@ -11,25 +11,25 @@
 import org.onyxhinge.core.model.Workspace;
 
 /**
- * Maps between the schema's messages and the core's records. From the schema, the records' own checks
- * apply and throw {@link IllegalArgumentException} naming the bad field.
+ * Converts between protobuf messages and model records. Conversion to a record applies the record's
+ * validation, which throws {@link IllegalArgumentException} with the name of the invalid field.
  */
 public final class ProtoMapping {
 
     private ProtoMapping() {}
 
-    /** A tier from its schema message. */
+    /** Converts a protobuf message to a tier. */
     public static Tier tier(TierSpec t) {
         return new Tier(
                 t.getName(), t.getRank(), t.getFirstTokenBudgetMs(), t.getBetweenTokenBudgetMs(), t.getDeadlineMs());
     }
 
-    /** A workspace from its schema message. */
+    /** Converts a protobuf message to a workspace. */
     public static Workspace workspace(WorkspaceSpec w) {
         return new Workspace(w.getName(), w.getMaxInFlight());
     }
 
-    /** A service from its schema message. */
+    /** Converts a protobuf message to a service. */
     public static Service service(ServiceSpec s) {
         ServiceKind kind = switch (s.getKind()) {
             case MODEL -> ServiceKind.MODEL;
@@ -40,12 +40,12 @@
         return new Service(s.getName(), kind, s.getPool(), s.getNonIdempotent());
     }
 
-    /** A pool from its schema message. */
+    /** Converts a protobuf message to a pool. */
     public static Pool pool(PoolSpec p) {
         return new Pool(p.getName(), p.getModel());
     }
 
-    /** The schema message of a tier. */
+    /** Converts a tier to its protobuf message. */
     public static TierSpec tierSpec(Tier t) {
         return TierSpec.newBuilder()
                 .setName(t.name())
@@ -56,7 +56,7 @@
                 .build();
     }
 
-    /** The schema message of a workspace. */
+    /** Converts a workspace to its protobuf message. */
     public static WorkspaceSpec workspaceSpec(Workspace w) {
         return WorkspaceSpec.newBuilder()
                 .setName(w.name())
@@ -64,7 +64,7 @@
                 .build();
     }
 
-    /** The schema message of a service. */
+    /** Converts a service to its protobuf message. */
     public static ServiceSpec serviceSpec(Service s) {
         return ServiceSpec.newBuilder()
                 .setName(s.name())
@@ -77,7 +77,7 @@
                 .build();
     }
 
-    /** The schema message of a pool. */
+    /** Converts a pool to its protobuf message. */
     public static PoolSpec poolSpec(Pool p) {
         return PoolSpec.newBuilder().setName(p.name()).setModel(p.model()).build();
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/admin/SetupFile.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/admin/SetupFile.java
@@ -14,15 +14,16 @@
 import org.onyxhinge.runtime.SettingsException;
 
 /**
- * An operators' setup file: INI sections {@code [tier NAME]}, {@code [workspace NAME]}, {@code [service
- * NAME]} and {@code [pool NAME]}, each with the fields of the schema message. See {@code
- * examples/postvirki/setup.ini}. Read with the same checks as settings: every bad key is named.
+ * Parser of setup files, which define configuration objects in the INI sections {@code [tier NAME]},
+ * {@code [workspace NAME]}, {@code [service NAME]} and {@code [pool NAME]}. The keys of a section are the
+ * fields of the protobuf message. See {@code examples/postvirki/setup.ini}. Validated like settings files:
+ * the error names every invalid key.
  */
 public final class SetupFile {
 
     private SetupFile() {}
 
-    /** Reads the objects of a setup file, in file order. */
+    /** Returns the objects of a setup file in file order. */
     public static Either<SettingsException, List<Message>> read(Settings s) {
         List<Message> out = new ArrayList<>();
         for (String section : s.sections()) {
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/admin/package-info.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/admin/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' gRPC service of {@code admin.proto}, served by every router. */
+/** The gRPC service for operators defined in {@code admin.proto}, which every router serves, and its client. */
 package org.onyxhinge.router.admin;
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/cli/AdminApplyCommand.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/cli/AdminApplyCommand.java
@@ -17,7 +17,10 @@
 
     private static final long TIMEOUT_MS = 30_000;
 
-    @Option(name = "--admin", title = "HOST:PORT", description = "a router's admin port (default 127.0.0.1:8081)")
+    @Option(
+            name = "--admin",
+            title = "HOST:PORT",
+            description = "address of a router's admin port (default 127.0.0.1:8081)")
     private String admin = "127.0.0.1:8081";
 
     @Option(
@@ -34,14 +37,14 @@
             Launch.fail(Launch.EXIT_SETTINGS, objects.getLeft().getMessage());
             return;
         }
-        AdminTarget target = AdminTarget.parse(admin);
+        AdminAddress address = AdminAddress.parse(admin);
         Vertx vertx = Vertx.vertx();
-        try (AdminClient client = AdminClient.create(vertx, target.host(), target.port())) {
+        try (AdminClient client = AdminClient.create(vertx, address.host(), address.port())) {
             var replies = Launch.await(client.apply(objects.get()), TIMEOUT_MS);
             System.out.println("applied " + replies.size() + " objects; revision "
                     + (replies.isEmpty() ? 0 : replies.get(replies.size() - 1).getRevision()));
         } catch (IllegalStateException e) {
-            Launch.fail(Launch.EXIT_FAILURE, "apply refused: " + e.getMessage());
+            Launch.fail(Launch.EXIT_FAILURE, "apply failed: " + e.getMessage());
         } finally {
             vertx.close();
         }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/cli/DumpCommand.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/cli/DumpCommand.java
@@ -13,7 +13,7 @@
 import org.onyxhinge.runtime.Launch;
 import org.onyxhinge.runtime.StatusEndpoints;
 
-/** {@code dump}: prints the state dump of any onyxhinge process from its HTTP or status port. */
+/** {@code dump}: prints the state dump of an onyxhinge process, read from its HTTP or status port. */
 @Command(name = "dump", description = "Print a process's state dump (router HTTP port or agent status port)")
 public final class DumpCommand implements Runnable {
 
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/cli/ForwardCommand.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/cli/ForwardCommand.java
@@ -18,13 +18,13 @@
 import org.onyxhinge.runtime.SettingsException;
 import sun.misc.Signal;
 
-/** {@code forward}: forwards calls by host and path as an INI file says; SIGHUP reads it again. */
-@Command(name = "forward", description = "Forward calls by host and path, as an INI file says")
+/** {@code forward}: forwards calls by host and path as configured in an INI file; SIGHUP reloads the file. */
+@Command(name = "forward", description = "Forward calls by host and path as configured in an INI file")
 public final class ForwardCommand implements Runnable {
 
     private static final Logger LOG = Logger.getLogger(ForwardCommand.class);
     private static final long START_TIMEOUT_MS = 30_000;
-    private static final long STOP_MARGIN_MS = 5_000;
+    private static final long DRAIN_MARGIN_MS = 5_000;
 
     @Option(
             name = {"-c", "--config"},
@@ -33,22 +33,22 @@
     @Required
     private String config;
 
-    @Option(name = "--check", description = "Only check the file")
+    @Option(name = "--check", description = "Only validate the file")
     private boolean check;
 
     @Option(name = "--log-level", title = "LEVEL", description = "INFO (default), FINE, WARNING")
     private String logLevel = "INFO";
 
-    private final AtomicLong version = new AtomicLong();
+    private final AtomicLong lastVersion = new AtomicLong();
 
     @Override
     public void run() {
-        Either<SettingsException, ForwardingSetup> read = read();
-        if (read.isLeft()) {
-            Launch.fail(Launch.EXIT_SETTINGS, read.getLeft().getMessage());
+        Either<SettingsException, ForwardingSetup> loaded = load();
+        if (loaded.isLeft()) {
+            Launch.fail(Launch.EXIT_SETTINGS, loaded.getLeft().getMessage());
             return;
         }
-        ForwardingSetup setup = read.get();
+        ForwardingSetup setup = loaded.get();
         if (check) {
             System.out.printf(
                     "%s: %d routes, %d targets%n",
@@ -59,21 +59,22 @@
         try {
             ForwardingNode node = Launch.await(ForwardingNode.start(Vertx.vertx(), setup), START_TIMEOUT_MS);
             Signal.handle(new Signal("HUP"), s -> reload(node));
-            Launch.runUntilStopped(node::drain, setup.settings().graceMs() + STOP_MARGIN_MS);
+            Launch.runUntilStopped(node::drain, setup.settings().graceMs() + DRAIN_MARGIN_MS);
         } catch (IllegalStateException e) {
             Launch.fail(Launch.EXIT_FAILURE, "router did not start: " + e.getMessage());
         }
     }
 
-    private Either<SettingsException, ForwardingSetup> read() {
-        return Settings.load(Path.of(config)).flatMap(s -> ForwardingFile.read(s, version.incrementAndGet()));
+    private Either<SettingsException, ForwardingSetup> load() {
+        return Settings.load(Path.of(config)).flatMap(s -> ForwardingFile.read(s, lastVersion.incrementAndGet()));
     }
 
     private void reload(ForwardingNode node) {
-        read().peek(setup -> {
+        load().peek(setup -> {
                     node.apply(setup);
                     LOG.infof("file read again version=%d", setup.config().version());
                 })
-                .peekLeft(e -> LOG.errorf("file not read again, what it said before stays: %s", e.getMessage()));
+                .peekLeft(e -> LOG.errorf(
+                        "file not read again, the previous configuration stays in force: %s", e.getMessage()));
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/cli/RouterMain.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/cli/RouterMain.java
@@ -6,16 +6,16 @@
 import com.github.rvesse.airline.parser.errors.ParseException;
 import org.onyxhinge.runtime.Launch;
 
-/** Entry point of the router binary. Run with {@code --help} for the commands. */
+/** Main class of the router binary; {@code help} lists the commands. */
 @Cli(
         name = "onyxhinge-router",
-        description = "onyxhinge router: schedules callers' requests over unlike engines",
+        description = "onyxhinge router: schedules callers' requests across heterogeneous engines",
         defaultCommand = Help.class,
         commands = {Help.class, RunCommand.class, ForwardCommand.class, DumpCommand.class},
         groups = {
             @Group(
                     name = "admin",
-                    description = "Operators' changes through a router's gRPC admin port",
+                    description = "Configure and operate routers through a router's gRPC admin port",
                     commands = {AdminApplyCommand.class, AdminShowCommand.class, AdminOrderCommand.class})
         })
 public final class RouterMain {
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/cli/RunCommand.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/cli/RunCommand.java
@@ -11,7 +11,7 @@
 import org.onyxhinge.runtime.Logs;
 import org.onyxhinge.runtime.Settings;
 
-/** {@code run}: starts a router and serves until SIGTERM, then drains. */
+/** {@code run}: runs a router until SIGTERM, then drains it. */
 @Command(name = "run", description = "Run a router with the settings in an INI file")
 public final class RunCommand implements Runnable {
 
@@ -29,12 +29,12 @@
 
     @Override
     public void run() {
-        var read = Settings.load(Path.of(config)).flatMap(RouterSettings::from);
-        if (read.isLeft()) {
-            Launch.fail(Launch.EXIT_SETTINGS, read.getLeft().getMessage());
+        var loaded = Settings.load(Path.of(config)).flatMap(RouterSettings::from);
+        if (loaded.isLeft()) {
+            Launch.fail(Launch.EXIT_SETTINGS, loaded.getLeft().getMessage());
             return;
         }
-        RouterSettings s = read.get();
+        RouterSettings s = loaded.get();
         Logs.setUp("router-" + s.routerId(), logLevel);
         RouterNode node;
         try {
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/cli/package-info.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/cli/package-info.java
@@ -1,2 +1,5 @@
-/** The router binary's command line (Airline): {@code run}, {@code admin apply|show}, {@code dump}. */
+/**
+ * Command line of the router binary, based on Airline: {@code run}, {@code forward}, {@code dump} and
+ * {@code admin apply|show|order}.
+ */
 package org.onyxhinge.router.cli;
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/config/ConfigCodec.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/config/ConfigCodec.java
@@ -17,24 +17,25 @@
 import org.onyxhinge.wire.frame.WireException;
 
 /**
- * Encodes configured objects as MessagePack maps (field name to value, plus {@code op}, the operation
- * id of the write). Unknown fields are ignored so older routers read newer values.
+ * Encodes configuration objects as MessagePack maps from field name to value, with the operation id of
+ * the write in the field {@code op}. Unknown fields are ignored, so that older routers can read values
+ * written by newer ones.
  */
 public final class ConfigCodec {
 
-    private static final String OP = "op";
+    private static final String OPERATION_ID_FIELD = "op";
 
     private ConfigCodec() {}
 
     /**
-     * A configured object read back from the store.
+     * A configuration object as read from the store.
      *
-     * @param value the record: a Tier, Workspace, Service or Pool
-     * @param operationId the operation that wrote it
+     * @param value a Tier, Workspace, Service or Pool
+     * @param operationId id of the operation that wrote the object
      */
     public record Stored(Record value, String operationId) {}
 
-    /** Encodes one object with the operation id that writes it. */
+    /** Encodes an object together with the id of the operation that writes it. */
     public static byte[] encode(Record value, String operationId) {
         Map<String, Object> fields = switch (value) {
             case Tier t ->
@@ -61,14 +62,14 @@
                 p.packString(e.getKey());
                 packValue(p, e.getValue());
             }
-            p.packString(OP).packString(operationId);
+            p.packString(OPERATION_ID_FIELD).packString(operationId);
             return p.toByteArray();
         } catch (IOException e) {
             throw new WireException("cannot encode configuration", e);
         }
     }
 
-    /** Decodes the value stored under a key of the given kind; throws {@link WireException} when malformed. */
+    /** Decodes the stored value of an object of the given kind; throws {@link WireException} if it is malformed. */
     public static Stored decode(ConfigKind kind, byte[] bytes) {
         Map<String, Value> f = new HashMap<>();
         try (MessageUnpacker u = MessagePack.newDefaultUnpacker(bytes)) {
@@ -79,21 +80,21 @@
             Record value = switch (kind) {
                 case TIER ->
                     new Tier(
-                            str(f, "name"),
-                            (int) num(f, "rank"),
-                            num(f, "firstTokenBudgetMs"),
-                            num(f, "betweenTokenBudgetMs"),
-                            num(f, "deadlineMs"));
-                case WORKSPACE -> new Workspace(str(f, "name"), (int) num(f, "maxInFlight"));
+                            stringField(f, "name"),
+                            (int) longField(f, "rank"),
+                            longField(f, "firstTokenBudgetMs"),
+                            longField(f, "betweenTokenBudgetMs"),
+                            longField(f, "deadlineMs"));
+                case WORKSPACE -> new Workspace(stringField(f, "name"), (int) longField(f, "maxInFlight"));
                 case SERVICE ->
                     new Service(
-                            str(f, "name"),
-                            ServiceKind.valueOf(str(f, "kind")),
-                            str(f, "pool"),
+                            stringField(f, "name"),
+                            ServiceKind.valueOf(stringField(f, "kind")),
+                            stringField(f, "pool"),
                             f.get("nonIdempotent").asBooleanValue().getBoolean());
-                case POOL -> new Pool(str(f, "name"), str(f, "model"));
+                case POOL -> new Pool(stringField(f, "name"), stringField(f, "model"));
             };
-            return new Stored(value, f.containsKey(OP) ? str(f, OP) : "");
+            return new Stored(value, f.containsKey(OPERATION_ID_FIELD) ? stringField(f, OPERATION_ID_FIELD) : "");
         } catch (IOException | MessagePackException | IllegalArgumentException | NullPointerException e) {
             throw new WireException("malformed " + kind + " configuration: " + e.getMessage(), e);
         }
@@ -109,11 +110,11 @@
         }
     }
 
-    private static String str(Map<String, Value> f, String key) {
+    private static String stringField(Map<String, Value> f, String key) {
         return f.get(key).asStringValue().asString();
     }
 
-    private static long num(Map<String, Value> f, String key) {
+    private static long longField(Map<String, Value> f, String key) {
         return f.get(key).asIntegerValue().asLong();
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/config/ConfigException.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/config/ConfigException.java
@@ -2,7 +2,7 @@
 
 import org.onyxhinge.wire.kv.KvException;
 
-/** A configuration write that was refused: a version conflict, or a store that could not be reached. */
+/** Failure of a configuration write: a version conflict, or an unavailable store. */
 public final class ConfigException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
@@ -16,7 +16,7 @@
         this.currentVersion = currentVersion;
     }
 
-    /** Another operator's change is in force: the write expected a different version. */
+    /** The object's version in force is not the version that the write expected. */
     public static ConfigException conflict(String key, long expected, long current) {
         return new ConfigException(
                 "conflict on " + key + ": expected version " + expected + ", version " + current + " is in force",
@@ -25,17 +25,17 @@
                 null);
     }
 
-    /** The key-value service did not take the write, or its outcome could not be read back. */
+    /** The key-value service failed the write, and the outcome could not be read back. */
     public static ConfigException unavailable(String key, KvException cause) {
         return new ConfigException("store unavailable for " + key + ": " + cause.getMessage(), false, -1, cause);
     }
 
-    /** True for a version conflict. */
+    /** Returns true for a version conflict. */
     public boolean isConflict() {
         return conflict;
     }
 
-    /** The version in force, for a conflict. */
+    /** Returns the version in force for a version conflict, otherwise -1. */
     public long currentVersion() {
         return currentVersion;
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/config/ConfigKind.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/config/ConfigKind.java
@@ -1,6 +1,6 @@
 package org.onyxhinge.router.config;
 
-/** The kinds of configured object, each under its own key prefix. */
+/** Kinds of configuration object, each with its own key prefix. */
 public enum ConfigKind {
     /** A {@link org.onyxhinge.core.model.Tier}. */
     TIER("config/tier/"),
@@ -11,8 +11,8 @@
     /** A {@link org.onyxhinge.core.model.Pool}. */
     POOL("config/pool/");
 
-    /** Prefix of every configuration key. */
-    public static final String ROOT = "config/";
+    /** Common prefix of all configuration keys. */
+    public static final String ROOT_PREFIX = "config/";
 
     private final String prefix;
 
@@ -20,12 +20,12 @@
         this.prefix = prefix;
     }
 
-    /** The key of the object called {@code name}. */
+    /** Returns the key of the object {@code name}. */
     public String key(String name) {
         return prefix + name;
     }
 
-    /** The kind a key belongs to. */
+    /** Returns the kind of the object that is stored under a key. */
     public static ConfigKind ofKey(String key) {
         for (ConfigKind k : values()) {
             if (key.startsWith(k.prefix)) {
@@ -35,7 +35,7 @@
         throw new IllegalArgumentException("not a configuration key: " + key);
     }
 
-    /** The object's name within a key. */
+    /** Returns the object name that a key of this kind contains. */
     public String name(String key) {
         return key.substring(prefix.length());
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/config/ConfigStore.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/config/ConfigStore.java
@@ -21,18 +21,18 @@
 import org.onyxhinge.wire.kv.KvStatus;
 
 /**
- * The router's copy of the accepted configuration: read whole from the key-value service at start,
- * then kept current by a watch on {@code config/}. A view is only replaced by one of a higher
- * revision, so an accepted configuration never reverts; through an outage the last view stays in
- * force. Writes are compare-and-swap with an operation id, so a retried write whose reply was lost is
- * recognised instead of applied twice. Runs on the router's control context.
+ * The router's copy of the configuration: loaded in full from the key-value service at start, then
+ * updated by a watch on {@code config/}. The configuration in force is replaced only by one of a higher
+ * revision, so it never reverts; during an outage the last one stays in force. Writes use
+ * compare-and-swap and carry an operation id, so that the retry of a write whose reply was lost is
+ * detected and not applied twice. Runs on the router's control context.
  */
 public final class ConfigStore {
 
     private static final Logger LOG = Logger.getLogger(ConfigStore.class);
 
     private final KvClient kv;
-    private final Map<String, Versioned> objects = new TreeMap<>();
+    private final Map<String, Versioned> objectsByKey = new TreeMap<>();
     private final Consumer<ClusterConfig> onChange;
     private volatile ClusterConfig current = ClusterConfig.empty();
 
@@ -43,26 +43,30 @@
         this.onChange = onChange;
     }
 
-    /** Creates the store; call {@link #start} to load and watch. */
+    /** Creates the store; {@link #start} loads and watches the configuration. */
     public static ConfigStore create(KvClient kv, Consumer<ClusterConfig> onChange) {
         return new ConfigStore(kv, onChange);
     }
 
-    /** Loads the configuration and follows it; completes once loaded, however long the service is away. */
+    /**
+     * Loads the configuration and starts watching it. The future completes when the configuration is
+     * loaded, which waits for the key-value service if it is unavailable.
+     */
     public Future<ClusterConfig> start(Vertx vertx) {
-        return KvMirror.start(vertx, kv, ConfigKind.ROOT, new Follower()).map(revision -> current);
+        return KvMirror.start(vertx, kv, ConfigKind.ROOT_PREFIX, new MirrorListener())
+                .map(revision -> current);
     }
 
-    private final class Follower implements KvMirror.Listener {
+    private final class MirrorListener implements KvMirror.Listener {
 
         @Override
         public void put(KvEntry entry) {
-            apply(entry);
+            storeEntry(entry);
         }
 
         @Override
         public void deleted(String key) {
-            objects.remove(key);
+            objectsByKey.remove(key);
         }
 
         @Override
@@ -71,21 +75,21 @@
         }
     }
 
-    /** The configuration in force. Safe from any thread. */
+    /** Returns the configuration in force. Thread-safe. */
     public ClusterConfig current() {
         return current;
     }
 
-    /** The version of every object in force, by key. */
+    /** Returns the version of each object in force, by key. */
     public Map<String, Long> versions() {
         Map<String, Long> out = new TreeMap<>();
-        objects.forEach((k, v) -> out.put(k, v.version()));
+        objectsByKey.forEach((k, v) -> out.put(k, v.version()));
         return out;
     }
 
     /**
-     * Writes one object if its version is {@code expectedVersion} (0 to create). Fails with {@link
-     * ConfigException}.
+     * Writes one object if its current version is {@code expectedVersion}, which is 0 for an object that
+     * does not exist. Fails with {@link ConfigException}.
      */
     public Future<PutOutcome> put(
             ConfigKind kind, String name, Record value, long expectedVersion, String operationId) {
@@ -93,45 +97,47 @@
         byte[] bytes = ConfigCodec.encode(value, operationId);
         return kv.put(key, bytes, expectedVersion, 0)
                 .map(r -> new PutOutcome(r.entries().get(0).version(), r.revision(), true))
-                .recover(e -> settle(kind, key, expectedVersion, operationId, e));
+                .recover(e -> resolveFailedPut(kind, key, expectedVersion, operationId, e));
     }
 
-    private Future<PutOutcome> settle(ConfigKind kind, String key, long expected, String operationId, Throwable e) {
+    private Future<PutOutcome> resolveFailedPut(
+            ConfigKind kind, String key, long expected, String operationId, Throwable e) {
         if (!(e instanceof KvException kvError)) {
             return Future.failedFuture(e);
         }
         if (kvError.status() == KvStatus.CONFLICT) {
-            KvEntry now = kvError.current().orElse(null);
-            if (now != null
-                    && ConfigCodec.decode(kind, now.value()).operationId().equals(operationId)) {
-                return Future.succeededFuture(new PutOutcome(now.version(), now.modRevision(), false));
+            KvEntry stored = kvError.current().orElse(null);
+            if (stored != null
+                    && ConfigCodec.decode(kind, stored.value()).operationId().equals(operationId)) {
+                return Future.succeededFuture(new PutOutcome(stored.version(), stored.modRevision(), false));
             }
-            return Future.failedFuture(ConfigException.conflict(key, expected, now == null ? 0 : now.version()));
+            return Future.failedFuture(ConfigException.conflict(key, expected, stored == null ? 0 : stored.version()));
         }
         return kv.get(key)
                 .compose(
                         reply -> readBack(kind, key, expected, operationId, reply),
-                        again -> Future.failedFuture(ConfigException.unavailable(key, kvError)));
+                        readError -> Future.failedFuture(ConfigException.unavailable(key, kvError)));
     }
 
     private Future<PutOutcome> readBack(
             ConfigKind kind, String key, long expected, String operationId, KvMessage.Reply reply) {
-        KvEntry now = reply.entries().isEmpty() ? null : reply.entries().get(0);
-        if (now != null && ConfigCodec.decode(kind, now.value()).operationId().equals(operationId)) {
-            return Future.succeededFuture(new PutOutcome(now.version(), now.modRevision(), true));
+        KvEntry stored = reply.entries().isEmpty() ? null : reply.entries().get(0);
+        if (stored != null
+                && ConfigCodec.decode(kind, stored.value()).operationId().equals(operationId)) {
+            return Future.succeededFuture(new PutOutcome(stored.version(), stored.modRevision(), true));
         }
-        long version = now == null ? 0 : now.version();
+        long version = stored == null ? 0 : stored.version();
         return Future.failedFuture(ConfigException.conflict(key, expected, version));
     }
 
-    private void apply(KvEntry entry) {
+    private void storeEntry(KvEntry entry) {
         try {
             ConfigKind kind = ConfigKind.ofKey(entry.key());
-            objects.put(
+            objectsByKey.put(
                     entry.key(),
                     new Versioned(ConfigCodec.decode(kind, entry.value()).value(), entry.version()));
         } catch (WireException | IllegalArgumentException e) {
-            LOG.warnf("config skipped key=%s error=%s", entry.key(), e.getMessage());
+            LOG.warnf("malformed config entry skipped key=%s error=%s", entry.key(), e.getMessage());
         }
     }
 
@@ -143,13 +149,13 @@
         Map<String, Workspace> workspaces = new TreeMap<>();
         Map<String, Service> services = new TreeMap<>();
         Map<String, Pool> pools = new TreeMap<>();
-        for (Versioned v : objects.values()) {
+        for (Versioned v : objectsByKey.values()) {
             switch (v.value()) {
                 case Tier t -> tiers.put(t.name(), t);
                 case Workspace w -> workspaces.put(w.name(), w);
                 case Service s -> services.put(s.name(), s);
                 case Pool p -> pools.put(p.name(), p);
-                default -> LOG.warnf("config ignored object=%s", v.value());
+                default -> LOG.warnf("config object of unsupported type ignored object=%s", v.value());
             }
         }
         current = new ClusterConfig(revision, tiers, workspaces, services, pools);
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/config/PutOutcome.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/config/PutOutcome.java
@@ -1,10 +1,10 @@
 package org.onyxhinge.router.config;
 
 /**
- * What a configuration write did.
+ * The result of a configuration write.
  *
- * @param version the object's version now in force
- * @param revision the key-value revision at which it took effect
- * @param applied false when the same operation had already taken effect and nothing was written
+ * @param version version of the object that is in force now
+ * @param revision key-value revision at which the write took effect
+ * @param applied false if the same operation had taken effect before and nothing was written
  */
 public record PutOutcome(long version, long revision, boolean applied) {}
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/dispatch/Answers.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/dispatch/CallerResponses.java
@@ -6,14 +6,14 @@
 import org.onyxhinge.core.schedule.Refusal;
 
 /**
- * Writes what the router sends callers: chunks in the OpenAI chat-completions shape, carrying the
- * router's request id, and refusals as JSON with {@code Retry-After}.
+ * Builds the responses sent to callers: OpenAI-style chat completions and completion chunks that carry
+ * the router's request id, and refusals as JSON error bodies with a {@code Retry-After} header.
  */
-public final class Answers {
+public final class CallerResponses {
 
     private static final long MS_PER_SECOND = 1_000;
 
-    private Answers() {}
+    private CallerResponses() {}
 
     static JsonObject chunk(String requestId, String service, JsonObject delta, String finishReason) {
         JsonObject choice = new JsonObject().put("index", 0).put("delta", delta).put("finish_reason", finishReason);
@@ -24,7 +24,7 @@
                 .put("choices", new JsonArray().add(choice));
     }
 
-    static JsonObject whole(String requestId, String service, String text, String finishReason, int tokens) {
+    static JsonObject completion(String requestId, String service, String text, String finishReason, int tokens) {
         JsonObject message = new JsonObject().put("role", "assistant").put("content", text);
         JsonObject choice =
                 new JsonObject().put("index", 0).put("message", message).put("finish_reason", finishReason);
@@ -36,28 +36,32 @@
                 .put("usage", new JsonObject().put("completion_tokens", tokens));
     }
 
-    /** The JSON error body of a refusal. */
-    public static JsonObject error(String requestId, Refusal r) {
+    /** Returns the JSON error body of a refusal. */
+    public static JsonObject error(String requestId, Refusal refusal) {
         return new JsonObject()
                 .put(
                         "error",
                         new JsonObject()
-                                .put("type", r.reason().name().toLowerCase(java.util.Locale.ROOT))
-                                .put("message", r.detail())
+                                .put("type", refusal.reason().name().toLowerCase(java.util.Locale.ROOT))
+                                .put("message", refusal.detail())
                                 .put("request_id", requestId)
-                                .put("not_run", r.reason().notRun())
-                                .put("retry_after_ms", r.retryAfterMs()));
+                                .put("not_run", refusal.reason().notRun())
+                                .put("retry_after_ms", refusal.retryAfterMs()));
     }
 
-    /** Ends a response that has not started with the refusal's status, body and {@code Retry-After}. */
-    public static void refuse(HttpServerResponse response, String requestId, Refusal r) {
+    /**
+     * Sends a refusal with its status, error body and {@code Retry-After} header. The response must not
+     * have started; a response that has ended or lost its connection is left alone.
+     */
+    public static void refuse(HttpServerResponse response, String requestId, Refusal refusal) {
         if (response.ended() || response.closed()) {
             return;
         }
-        response.setStatusCode(r.reason().httpStatus()).putHeader("content-type", "application/json");
-        if (r.retryAfterMs() > 0) {
-            response.putHeader("Retry-After", Long.toString((r.retryAfterMs() + MS_PER_SECOND - 1) / MS_PER_SECOND));
+        response.setStatusCode(refusal.reason().httpStatus()).putHeader("content-type", "application/json");
+        if (refusal.retryAfterMs() > 0) {
+            response.putHeader(
+                    "Retry-After", Long.toString((refusal.retryAfterMs() + MS_PER_SECOND - 1) / MS_PER_SECOND));
         }
-        response.end(error(requestId, r).encode());
+        response.end(error(requestId, refusal).encode());
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/dispatch/ControlPlane.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/dispatch/ControlPlane.java
@@ -1,24 +1,28 @@
 package org.onyxhinge.router.dispatch;
 
-/** What traffic threads tell the router's control thread. Implementations hop to the control context. */
+/**
+ * Request events that traffic threads report to the router's control thread. Implementations switch to
+ * the control context themselves.
+ */
 public interface ControlPlane {
 
-    /** A checked request is ready to be scheduled. */
-    void submit(Flight flight);
+    /** Submits a validated request for scheduling. */
+    void submit(InFlightRequest request);
 
-    /** The first token of a dispatched request came back. */
+    /** Reports that the target returned the first token of a dispatched request. */
     void firstToken(String requestId);
 
     /**
-     * No byte of a dispatched request could be sent: it was not run and may be offered to another target.
+     * Reports that no byte of a dispatched request could be sent. The request has not run and may be
+     * dispatched to another target.
      */
     void unsent(String requestId);
 
     /**
-     * A request reached its final answer, or its caller went away.
+     * Reports that a request is finished: its final response was sent or its caller disconnected.
      *
-     * @param requestId the request
-     * @param sent true when any of it was sent to an engine
+     * @param requestId id of the request
+     * @param sent true if any part of the request was sent to an engine
      */
     void ended(String requestId, boolean sent);
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/dispatch/Dispatcher.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/dispatch/Dispatcher.java
@@ -18,19 +18,20 @@
 import org.onyxhinge.wire.MonotonicClock;
 
 /**
- * Sends flights to their targets and streams answers back, on one traffic context. A flight is sent
- * once; if the target cannot be reached the flight goes back to the scheduler, not run; if the target fails
- * mid-answer the caller is told the answer is partial. Answers reach only the caller whose request id
- * they carry: each engine stream is read on its own connection and forwarded to its own flight.
+ * Sends requests to their targets and relays the responses to the callers, on one traffic context. A
+ * request is sent at most once. If the target is unreachable, the request returns to the scheduler as not
+ * run; if the target fails during the response, the caller is told that the response is partial. Each
+ * engine stream is read on its own connection and forwarded only to the caller of that request, so
+ * responses cannot reach another caller.
  */
 public final class Dispatcher {
 
     private static final Logger LOG = Logger.getLogger(Dispatcher.class);
     private static final String SSE_DELIMITER = "\n\n";
-    private static final String DATA = "data: ";
-    private static final String DONE = "[DONE]";
+    private static final String SSE_DATA_PREFIX = "data: ";
+    private static final String SSE_DONE = "[DONE]";
     private static final long NS_PER_US = 1_000;
-    private static final long FAILED_RETRY_MS = 1_000;
+    private static final long TARGET_FAILED_RETRY_AFTER_MS = 1_000;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
 
     private final HttpClient client;
@@ -43,24 +44,24 @@
         this.metrics = metrics;
     }
 
-    /** Creates a dispatcher using {@code client}, which must belong to the same traffic context. */
+    /** Creates a dispatcher that sends with {@code client}, which must belong to the same traffic context. */
     public static Dispatcher create(HttpClient client, ControlPlane control, RouterMetrics metrics) {
         return new Dispatcher(client, control, metrics);
     }
 
-    /** Sends the flight to the engine. Call on the flight's traffic context. */
-    public void dispatch(Flight f, EngineInfo engine) {
-        if (!f.machine.tryFire("dispatch")) {
+    /** Sends a request to an engine. Must be called on the request's traffic context. */
+    public void dispatch(InFlightRequest f, EngineInfo engine) {
+        if (!f.lifecycle.tryFire("dispatch")) {
             control.ended(f.spec.requestId(), false);
             return;
         }
         f.dispatchedNs = System.nanoTime();
         client.request(options(f, engine))
-                .onFailure(e -> unreachable(f, engine, e))
+                .onFailure(e -> onConnectFailure(f, engine, e))
                 .onSuccess(req -> send(f, req));
     }
 
-    private static RequestOptions options(Flight f, EngineInfo engine) {
+    private static RequestOptions options(InFlightRequest f, EngineInfo engine) {
         RequestOptions options = new RequestOptions()
                 .setMethod(HttpMethod.POST)
                 .setHost(engine.host())
@@ -75,9 +76,9 @@
         return options;
     }
 
-    /** The connection is up: sends the request, unless its flight ended while it waited. */
-    private void send(Flight f, HttpClientRequest req) {
-        if (!f.machine.tryFire("send")) {
+    /** Sends the request on an established connection, unless the request ended while waiting for it. */
+    private void send(InFlightRequest f, HttpClientRequest req) {
+        if (!f.lifecycle.tryFire("send")) {
             req.reset();
             return;
         }
@@ -89,80 +90,82 @@
         Buffer body = f.request.plain()
                 ? f.request.body().toBuffer()
                 : f.request.body().copy().put("stream", true).toBuffer();
-        req.send(body).onSuccess(resp -> answer(f, resp)).onFailure(e -> failed(f, "send failed: " + e.getMessage()));
+        req.send(body)
+                .onSuccess(resp -> onResponse(f, resp))
+                .onFailure(e -> onTargetFailure(f, "send failed: " + e.getMessage()));
     }
 
-    /** Answers the caller with a refusal; the request was not dispatched. */
-    public void refuse(Flight f, Refusal r) {
-        if (f.machine.tryFire("refuse")) {
+    /** Refuses a request that was not dispatched. */
+    public void refuse(InFlightRequest f, Refusal r) {
+        if (f.lifecycle.tryFire("refuse")) {
             metrics.refused(r.reason());
-            Answers.refuse(f.caller.response(), f.spec.requestId(), r);
+            CallerResponses.refuse(f.httpRequest.response(), f.spec.requestId(), r);
         }
     }
 
     /**
-     * Stops a request the scheduler had dispatched and tells its caller why; of a request that was not
-     * sent yet, that it was not run.
+     * Cancels a request that the scheduler had dispatched and sends its caller the refusal. If the request
+     * was not sent yet, the refusal says that it was not run.
      */
-    public void cancel(Flight f, Refusal r) {
+    public void cancel(InFlightRequest f, Refusal r) {
         if (f.sent) {
-            stop(f, r);
-        } else if (f.machine.tryFire("refuse")) {
+            cancelSent(f, r);
+        } else if (f.lifecycle.tryFire("refuse")) {
             metrics.refused(RefusalReason.DEADLINE_UNREACHABLE);
-            Answers.refuse(
-                    f.caller.response(),
+            CallerResponses.refuse(
+                    f.httpRequest.response(),
                     f.spec.requestId(),
                     Refusal.of(RefusalReason.DEADLINE_UNREACHABLE, r.detail() + "; not run", r.retryAfterMs()));
         }
         control.ended(f.spec.requestId(), f.sent);
     }
 
-    private void stop(Flight f, Refusal r) {
-        if (f.machine.tryFire(r.reason() == RefusalReason.PREEMPTED ? "preempt" : "fail")) {
+    private void cancelSent(InFlightRequest f, Refusal r) {
+        if (f.lifecycle.tryFire(r.reason() == RefusalReason.PREEMPTED ? "preempt" : "fail")) {
             metrics.refused(r.reason());
-            stopUpstream(f);
-            endPartial(f, r);
+            cancelUpstream(f);
+            endPartialResponse(f, r);
         }
     }
 
-    /** The caller went away: cancel on the engine if any of it was sent. */
-    public void abandoned(Flight f) {
-        if (f.machine.tryFire("abandon")) {
-            stopUpstream(f);
+    /** Handles a caller that disconnected: cancels the request on the engine if it was sent. */
+    public void callerDisconnected(InFlightRequest f) {
+        if (f.lifecycle.tryFire("abandon")) {
+            cancelUpstream(f);
             control.ended(f.spec.requestId(), f.sent);
         }
     }
 
-    private void unreachable(Flight f, EngineInfo engine, Throwable e) {
+    private void onConnectFailure(InFlightRequest f, EngineInfo engine, Throwable e) {
         LOG.infof(
-                "dispatch unreachable request=%s engine=%s error=%s",
+                "target unreachable request=%s engine=%s error=%s",
                 f.spec.requestId(), engine.engineId(), e.getMessage());
-        if (f.machine.tryFire("unsent")) {
+        if (f.lifecycle.tryFire("unsent")) {
             control.unsent(f.spec.requestId());
         }
     }
 
-    private void answer(Flight f, HttpClientResponse resp) {
+    private void onResponse(InFlightRequest f, HttpClientResponse resp) {
         if (resp.statusCode() != 200) {
-            resp.body().onComplete(b -> failed(f, "target answered " + resp.statusCode()));
+            resp.body().onComplete(b -> onTargetFailure(f, "target answered " + resp.statusCode()));
             return;
         }
         if (f.request.plain()) {
-            resp.body().onSuccess(b -> plainDone(f, b)).onFailure(e -> failed(f, e.getMessage()));
+            resp.body().onSuccess(b -> completePlainCall(f, b)).onFailure(e -> onTargetFailure(f, e.getMessage()));
             return;
         }
-        RecordParser events = RecordParser.newDelimited(SSE_DELIMITER, event -> event(f, event.toString()));
+        RecordParser events = RecordParser.newDelimited(SSE_DELIMITER, event -> onEvent(f, event.toString()));
         resp.handler(events);
-        resp.exceptionHandler(e -> failed(f, "stream broke: " + e.getMessage()));
-        resp.endHandler(v -> failed(f, "stream ended before [DONE]"));
+        resp.exceptionHandler(e -> onTargetFailure(f, "stream broke: " + e.getMessage()));
+        resp.endHandler(v -> onTargetFailure(f, "stream ended before [DONE]"));
     }
 
-    private void event(Flight f, String event) {
-        if (!event.startsWith(DATA) || f.machine.done()) {
+    private void onEvent(InFlightRequest f, String event) {
+        if (!event.startsWith(SSE_DATA_PREFIX) || f.lifecycle.done()) {
             return;
         }
-        String data = event.substring(DATA.length()).trim();
-        if (data.equals(DONE)) {
+        String data = event.substring(SSE_DATA_PREFIX.length()).trim();
+        if (data.equals(SSE_DONE)) {
             complete(f);
             return;
         }
@@ -170,56 +173,56 @@
             JsonObject chunk = new JsonObject(data);
             JsonArray choices = chunk.getJsonArray("choices", new JsonArray());
             JsonObject choice = choices.isEmpty() ? new JsonObject() : choices.getJsonObject(0);
-            String piece = choice.getJsonObject("delta", new JsonObject()).getString("content");
+            String content = choice.getJsonObject("delta", new JsonObject()).getString("content");
             if (choice.getString("finish_reason") != null) {
                 f.finishReason = choice.getString("finish_reason");
             }
-            if (piece != null && !piece.isEmpty()) {
-                token(f, piece);
+            if (content != null && !content.isEmpty()) {
+                onToken(f, content);
             }
         } catch (DecodeException | ClassCastException e) {
-            failed(f, "target sent a malformed event");
+            onTargetFailure(f, "target sent a malformed event");
         }
     }
 
-    private void token(Flight f, String piece) {
+    private void onToken(InFlightRequest f, String content) {
         long now = System.nanoTime();
         if (f.tokens == 0) {
-            f.machine.fire("first_token");
+            f.lifecycle.fire("first_token");
             f.firstTokenNs = now;
-            metrics.firstToken(f.spec.tier().name(), (now - f.arrivedNs) / NS_PER_US);
+            metrics.firstTokenLatency(f.spec.tier().name(), (now - f.arrivedNs) / NS_PER_US);
             control.firstToken(f.spec.requestId());
         } else {
-            metrics.gap(f.spec.tier().name(), (now - f.lastTokenNs) / NS_PER_US);
+            metrics.interTokenLatency(f.spec.tier().name(), (now - f.lastTokenNs) / NS_PER_US);
         }
         f.lastTokenNs = now;
         f.tokens++;
         if (f.request.stream()) {
-            startStream(f);
+            startEventStream(f);
             write(
                     f,
-                    Answers.chunk(
-                            f.spec.requestId(), f.request.service(), new JsonObject().put("content", piece), null));
+                    CallerResponses.chunk(
+                            f.spec.requestId(), f.request.service(), new JsonObject().put("content", content), null));
         } else {
-            f.text.append(piece);
+            f.text.append(content);
         }
     }
 
-    private void complete(Flight f) {
-        if (f.machine.state().equals("dispatched")) {
-            f.machine.fire("first_token");
+    private void complete(InFlightRequest f) {
+        if (f.lifecycle.state().equals("dispatched")) {
+            f.lifecycle.fire("first_token");
             f.firstTokenNs = System.nanoTime();
         }
-        f.machine.fire("finish");
+        f.lifecycle.fire("finish");
         if (f.request.stream()) {
-            startStream(f);
-            write(f, Answers.chunk(f.spec.requestId(), f.request.service(), new JsonObject(), f.finishReason));
-            f.caller.response().end(DATA + DONE + SSE_DELIMITER);
+            startEventStream(f);
+            write(f, CallerResponses.chunk(f.spec.requestId(), f.request.service(), new JsonObject(), f.finishReason));
+            f.httpRequest.response().end(SSE_DATA_PREFIX + SSE_DONE + SSE_DELIMITER);
         } else {
-            f.caller
+            f.httpRequest
                     .response()
                     .putHeader("content-type", "application/json")
-                    .end(Answers.whole(
+                    .end(CallerResponses.completion(
                                     f.spec.requestId(),
                                     f.request.service(),
                                     f.text.toString(),
@@ -227,22 +230,22 @@
                                     f.tokens)
                             .encode());
         }
-        delivered(f);
+        recordDelivery(f);
     }
 
-    private void plainDone(Flight f, Buffer body) {
-        f.machine.fire("first_token");
+    private void completePlainCall(InFlightRequest f, Buffer body) {
+        f.lifecycle.fire("first_token");
         f.firstTokenNs = System.nanoTime();
-        f.machine.fire("finish");
-        f.caller
+        f.lifecycle.fire("finish");
+        f.httpRequest
                 .response()
                 .putHeader("content-type", "application/json")
                 .putHeader("x-request-id", f.spec.requestId())
                 .end(body);
-        delivered(f);
+        recordDelivery(f);
     }
 
-    private void delivered(Flight f) {
+    private void recordDelivery(InFlightRequest f) {
         long nowMs = MonotonicClock.nowMs();
         long firstMs = (f.firstTokenNs - f.arrivedNs) / 1_000_000;
         boolean inTime = firstMs <= f.spec.tier().firstTokenBudgetMs() && nowMs <= f.spec.dueAtMs();
@@ -250,32 +253,32 @@
         control.ended(f.spec.requestId(), true);
     }
 
-    private void failed(Flight f, String why) {
-        if (f.machine.done()) {
+    private void onTargetFailure(InFlightRequest f, String why) {
+        if (f.lifecycle.done()) {
             return;
         }
         LOG.infof("dispatch failed request=%s error=%s", f.spec.requestId(), why);
-        f.machine.fire("fail");
-        Refusal r = Refusal.of(RefusalReason.TARGET_FAILED, why, FAILED_RETRY_MS);
+        f.lifecycle.fire("fail");
+        Refusal r = Refusal.of(RefusalReason.TARGET_FAILED, why, TARGET_FAILED_RETRY_AFTER_MS);
         metrics.refused(r.reason());
-        stopUpstream(f);
-        endPartial(f, r);
+        cancelUpstream(f);
+        endPartialResponse(f, r);
         control.ended(f.spec.requestId(), true);
     }
 
-    private void endPartial(Flight f, Refusal r) {
+    private void endPartialResponse(InFlightRequest f, Refusal r) {
         if (f.headersSent) {
-            write(f, Answers.error(f.spec.requestId(), r).put("partial", true));
-            f.caller.response().end(DATA + DONE + SSE_DELIMITER);
+            write(f, CallerResponses.error(f.spec.requestId(), r).put("partial", true));
+            f.httpRequest.response().end(SSE_DATA_PREFIX + SSE_DONE + SSE_DELIMITER);
         } else {
-            Answers.refuse(f.caller.response(), f.spec.requestId(), r);
+            CallerResponses.refuse(f.httpRequest.response(), f.spec.requestId(), r);
         }
     }
 
-    private void startStream(Flight f) {
+    private void startEventStream(InFlightRequest f) {
         if (!f.headersSent) {
             f.headersSent = true;
-            f.caller
+            f.httpRequest
                     .response()
                     .setChunked(true)
                     .putHeader("content-type", "text/event-stream")
@@ -283,14 +286,14 @@
         }
     }
 
-    private static void write(Flight f, JsonObject chunk) {
-        if (!f.caller.response().closed()) {
-            f.caller.response().write(DATA + chunk.encode() + SSE_DELIMITER);
+    private static void write(InFlightRequest f, JsonObject chunk) {
+        if (!f.httpRequest.response().closed()) {
+            f.httpRequest.response().write(SSE_DATA_PREFIX + chunk.encode() + SSE_DELIMITER);
         }
     }
 
-    /** Cancels the request on its engine; what the engine did of its prompt is wasted. */
-    private void stopUpstream(Flight f) {
+    /** Cancels a sent request on its engine and counts its prompt tokens as wasted prefill. */
+    private void cancelUpstream(InFlightRequest f) {
         if (f.sent) {
             metrics.wastedPrefill(f.spec.promptTokens());
             f.upstream.reset();
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/dispatch/RefusedException.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/dispatch/RefusedException.java
@@ -2,20 +2,20 @@
 
 import org.onyxhinge.core.schedule.Refusal;
 
-/** Carries a {@link Refusal} through a failed future. */
+/** Failure of a future that carries the {@link Refusal} to send to the caller. */
 public final class RefusedException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
     private final transient Refusal refusal;
 
-    /** Wraps a refusal. */
+    /** Creates an exception without a stack trace for a refusal. */
     public RefusedException(Refusal refusal) {
         super(refusal.reason() + ": " + refusal.detail(), null, false, false);
         this.refusal = refusal;
     }
 
-    /** What to tell the caller. */
+    /** Returns the refusal to send to the caller. */
     public Refusal refusal() {
         return refusal;
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/dispatch/package-info.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/dispatch/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Carrying out the scheduler's decisions on callers' traffic threads: sending a request to its target
- * once, streaming the answer back to its own caller only, cancelling, and refusing honestly.
+ * Executes scheduling decisions on the traffic threads: sends each request to its target at most once,
+ * streams the response to the caller of that request, and cancels or refuses requests. Also claims the
+ * idempotency keys of non-idempotent requests.
  */
 package org.onyxhinge.router.dispatch;
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/http/CallerApi.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/http/CallerApi.java
@@ -18,74 +18,81 @@
 import org.onyxhinge.core.schedule.Refusal;
 import org.onyxhinge.core.schedule.RefusalReason;
 import org.onyxhinge.core.text.Tokens;
-import org.onyxhinge.router.RequestIds;
+import org.onyxhinge.router.RequestIdGenerator;
 import org.onyxhinge.router.RouterMetrics;
-import org.onyxhinge.router.dispatch.Answers;
+import org.onyxhinge.router.dispatch.CallerResponses;
 import org.onyxhinge.router.dispatch.ControlPlane;
 import org.onyxhinge.router.dispatch.Dispatcher;
-import org.onyxhinge.router.dispatch.Flight;
+import org.onyxhinge.router.dispatch.InFlightRequest;
 
 /**
- * The callers' HTTP routes on one traffic context. Each request is read, checked against the
- * configuration in force, and handed to the control thread as a {@link Flight}; anything that fails
- * a check is refused at once with a clear reason, and nothing about it is kept.
+ * The HTTP routes for callers on one traffic context. Each request is parsed, validated against the
+ * configuration in force, and submitted to the control thread as an {@link InFlightRequest}. A request
+ * that fails validation is refused immediately with a specific reason, and no state is kept for it.
  */
 public final class CallerApi {
 
     private static final int NS_PER_MS = 1_000_000;
 
-    private final Context traffic;
+    private final Context trafficContext;
     private final Dispatcher dispatcher;
     private final ControlPlane control;
     private final RouterMetrics metrics;
     private final Supplier<ClusterConfig> config;
     private final BooleanSupplier draining;
-    private final RequestIds ids;
+    private final RequestIdGenerator requestIds;
 
     private CallerApi(
-            Context traffic,
+            Context trafficContext,
             Dispatcher dispatcher,
             ControlPlane control,
             RouterMetrics metrics,
             Supplier<ClusterConfig> config,
             BooleanSupplier draining,
-            RequestIds ids) {
-        this.traffic = traffic;
+            RequestIdGenerator requestIds) {
+        this.trafficContext = trafficContext;
         this.dispatcher = dispatcher;
         this.control = control;
         this.metrics = metrics;
         this.config = config;
         this.draining = draining;
-        this.ids = ids;
+        this.requestIds = requestIds;
     }
 
     /**
-     * What the callers' routes need from the router.
+     * The parts of the router that the routes depend on.
      *
-     * @param control the control thread
-     * @param metrics the router's measures
-     * @param config the configuration in force
+     * @param control interface to the control thread
+     * @param metrics metrics of the router
+     * @param config supplier of the configuration in force
      * @param draining true once a planned stop has begun
-     * @param ids request ids
+     * @param requestIds generator of request ids
      */
-    public record Parts(
+    public record Dependencies(
             ControlPlane control,
             RouterMetrics metrics,
             Supplier<ClusterConfig> config,
             BooleanSupplier draining,
-            RequestIds ids) {}
+            RequestIdGenerator requestIds) {}
 
-    /** Adds the callers' routes to {@code router}, for one traffic context. */
-    public static void mount(Router router, int maxBodyBytes, Context traffic, Dispatcher dispatcher, Parts parts) {
+    /** Adds the routes for callers to {@code router}, for one traffic context. */
+    public static void mount(
+            Router router, int maxBodyBytes, Context trafficContext, Dispatcher dispatcher, Dependencies dependencies) {
         CallerApi api = new CallerApi(
-                traffic, dispatcher, parts.control(), parts.metrics(), parts.config(), parts.draining(), parts.ids());
+                trafficContext,
+                dispatcher,
+                dependencies.control(),
+                dependencies.metrics(),
+                dependencies.config(),
+                dependencies.draining(),
+                dependencies.requestIds());
         router.post().handler(BodyHandler.create(false).setBodyLimit(maxBodyBytes));
         router.post("/v1/chat/completions")
-                .handler(ctx -> api.take(
+                .handler(ctx -> api.handle(
                         ctx,
                         RequestReader.chat(ctx.request().headers(), ctx.body().asString())));
         router.post("/v1/calls/:service")
-                .handler(ctx -> api.take(
+                .handler(ctx -> api.handle(
                         ctx,
                         RequestReader.plain(
                                 ctx.request().headers(),
@@ -93,39 +100,40 @@
                                 ctx.body().asString())));
     }
 
-    private void take(RoutingContext ctx, Either<Refusal, CallerRequest> read) {
+    private void handle(RoutingContext ctx, Either<Refusal, CallerRequest> parsed) {
         long arrivedNs = System.nanoTime();
         metrics.received();
-        String requestId = ids.next();
-        Either<Refusal, RequestSpec> checked = draining.getAsBoolean()
+        String requestId = requestIds.next();
+        Either<Refusal, RequestSpec> validated = draining.getAsBoolean()
                 ? Either.left(Refusal.of(RefusalReason.DRAINING, "router is stopping; try another", 1_000))
-                : read.flatMap(r -> check(requestId, r, arrivedNs / NS_PER_MS));
-        if (checked.isLeft()) {
-            metrics.refused(checked.getLeft().reason());
-            Answers.refuse(ctx.response(), requestId, checked.getLeft());
+                : parsed.flatMap(r -> validate(requestId, r, arrivedNs / NS_PER_MS));
+        if (validated.isLeft()) {
+            metrics.refused(validated.getLeft().reason());
+            CallerResponses.refuse(ctx.response(), requestId, validated.getLeft());
             return;
         }
-        Flight f = Flight.create(dispatcher, checked.get(), read.get(), ctx.request(), traffic, arrivedNs);
-        ctx.response().closeHandler(v -> dispatcher.abandoned(f));
+        InFlightRequest f = InFlightRequest.create(
+                dispatcher, validated.get(), parsed.get(), ctx.request(), trafficContext, arrivedNs);
+        ctx.response().closeHandler(v -> dispatcher.callerDisconnected(f));
         control.submit(f);
     }
 
-    private Either<Refusal, RequestSpec> check(String requestId, CallerRequest r, long nowMs) {
+    private Either<Refusal, RequestSpec> validate(String requestId, CallerRequest r, long nowMs) {
         ClusterConfig c = config.get();
         if (c.workspace(r.workspace()).isEmpty()) {
-            return notFound(RefusalReason.UNKNOWN_WORKSPACE, "workspace '" + r.workspace() + "' is not configured");
+            return refuse(RefusalReason.UNKNOWN_WORKSPACE, "workspace '" + r.workspace() + "' is not configured");
         }
         Tier tier = c.tier(r.tier()).orElse(null);
         if (tier == null) {
-            return notFound(RefusalReason.UNKNOWN_TIER, "tier '" + r.tier() + "' is not configured");
+            return refuse(RefusalReason.UNKNOWN_TIER, "tier '" + r.tier() + "' is not configured");
         }
         Service service = c.service(r.service()).orElse(null);
         if (service == null || (service.kind() == ServiceKind.PLAIN) != r.plain()) {
-            return notFound(
+            return refuse(
                     RefusalReason.UNKNOWN_SERVICE, "service '" + r.service() + "' is not configured for this path");
         }
         if (service.nonIdempotent() && r.idempotencyKey().isEmpty()) {
-            return notFound(
+            return refuse(
                     RefusalReason.BAD_REQUEST,
                     "service '" + r.service() + "' is non-idempotent: send an Idempotency-Key");
         }
@@ -158,7 +166,7 @@
                 nowMs);
     }
 
-    private static <T> Either<Refusal, T> notFound(RefusalReason reason, String detail) {
+    private static <T> Either<Refusal, T> refuse(RefusalReason reason, String detail) {
         return Either.left(Refusal.of(reason, detail, 0));
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/http/RequestReader.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/http/RequestReader.java
@@ -9,35 +9,35 @@
 import org.onyxhinge.core.schedule.RefusalReason;
 
 /**
- * Reads a caller's HTTP request into a {@link CallerRequest}, or a {@link RefusalReason#BAD_REQUEST}
- * refusal that says exactly what is missing or malformed.
+ * Parses a caller's HTTP request into a {@link CallerRequest}, or into a {@link
+ * RefusalReason#BAD_REQUEST} refusal that names the missing or malformed part.
  */
 public final class RequestReader {
 
-    /** Header naming the workspace. */
+    /** Header with the name of the workspace. */
     public static final String WORKSPACE_HEADER = "X-Onyx-Workspace";
-    /** Header naming the tier. */
+    /** Header with the name of the tier. */
     public static final String TIER_HEADER = "X-Onyx-Tier";
-    /** Header carrying the caller's idempotency key. */
+    /** Header with the idempotency key. */
     public static final String IDEMPOTENCY_HEADER = "Idempotency-Key";
 
     private static final int MAX_TOKENS_LIMIT = 1_000_000;
     private static final int DEFAULT_MAX_TOKENS = 256;
-    private static final int MAX_KEY_LENGTH = 200;
+    private static final int MAX_IDEMPOTENCY_KEY_LENGTH = 200;
 
     private RequestReader() {}
 
     private record Headers(String workspace, String tier, String idempotencyKey) {}
 
-    /** Reads a chat-completions request. */
-    public static Either<Refusal, CallerRequest> chat(MultiMap headers, String text) {
-        return headers(headers).flatMap(h -> json(text).flatMap(body -> chatBody(h, body)));
+    /** Parses a chat-completions request. */
+    public static Either<Refusal, CallerRequest> chat(MultiMap headers, String bodyText) {
+        return parseHeaders(headers).flatMap(h -> parseJson(bodyText).flatMap(body -> parseChatBody(h, body)));
     }
 
-    /** Reads a plain service call to {@code service}. */
-    public static Either<Refusal, CallerRequest> plain(MultiMap headers, String service, String text) {
-        return headers(headers)
-                .flatMap(h -> json(text)
+    /** Parses a plain call to {@code service}. */
+    public static Either<Refusal, CallerRequest> plain(MultiMap headers, String service, String bodyText) {
+        return parseHeaders(headers)
+                .flatMap(h -> parseJson(bodyText)
                         .map(body -> new CallerRequest(
                                 h.workspace(),
                                 h.tier(),
@@ -50,25 +50,25 @@
                                 true)));
     }
 
-    private static Either<Refusal, CallerRequest> chatBody(Headers h, JsonObject body) {
+    private static Either<Refusal, CallerRequest> parseChatBody(Headers h, JsonObject body) {
         Object model = body.getValue("model");
         Object messages = body.getValue("messages");
         if (!(model instanceof String service) || service.isBlank()) {
-            return bad("body needs \"model\", the service name, as a string");
+            return badRequest("body needs \"model\", the service name, as a string");
         }
-        if (!(messages instanceof JsonArray list) || list.isEmpty() || !allMessages(list)) {
-            return bad("body needs \"messages\": a non-empty array of {\"role\", \"content\"} objects");
+        if (!(messages instanceof JsonArray list) || list.isEmpty() || !areMessages(list)) {
+            return badRequest("body needs \"messages\": a non-empty array of {\"role\", \"content\"} objects");
         }
         Object max = body.getValue("max_tokens", DEFAULT_MAX_TOKENS);
         if (!(max instanceof Number n) || n.intValue() < 1 || n.intValue() > MAX_TOKENS_LIMIT) {
-            return bad("\"max_tokens\" must be a whole number 1.." + MAX_TOKENS_LIMIT);
+            return badRequest("\"max_tokens\" must be a whole number 1.." + MAX_TOKENS_LIMIT);
         }
         boolean stream = Boolean.TRUE.equals(body.getValue("stream"));
         return Either.right(new CallerRequest(
                 h.workspace(), h.tier(), service, h.idempotencyKey(), body, list, n.intValue(), stream, false));
     }
 
-    private static boolean allMessages(JsonArray list) {
+    private static boolean areMessages(JsonArray list) {
         for (Object o : list) {
             if (!(o instanceof JsonObject m)
                     || !(m.getValue("content") instanceof String)
@@ -79,33 +79,33 @@
         return true;
     }
 
-    private static Either<Refusal, Headers> headers(MultiMap headers) {
+    private static Either<Refusal, Headers> parseHeaders(MultiMap headers) {
         String workspace = headers.get(WORKSPACE_HEADER);
         String tier = headers.get(TIER_HEADER);
         String key = headers.get(IDEMPOTENCY_HEADER) == null
                 ? ""
                 : headers.get(IDEMPOTENCY_HEADER).trim();
         if (workspace == null || workspace.isBlank()) {
-            return bad("header " + WORKSPACE_HEADER + " is required");
+            return badRequest("header " + WORKSPACE_HEADER + " is required");
         }
         if (tier == null || tier.isBlank()) {
-            return bad("header " + TIER_HEADER + " is required");
+            return badRequest("header " + TIER_HEADER + " is required");
         }
-        if (key.length() > MAX_KEY_LENGTH) {
-            return bad("header " + IDEMPOTENCY_HEADER + " is longer than " + MAX_KEY_LENGTH);
+        if (key.length() > MAX_IDEMPOTENCY_KEY_LENGTH) {
+            return badRequest("header " + IDEMPOTENCY_HEADER + " is longer than " + MAX_IDEMPOTENCY_KEY_LENGTH);
         }
         return Either.right(new Headers(workspace.trim(), tier.trim(), key));
     }
 
-    private static Either<Refusal, JsonObject> json(String text) {
+    private static Either<Refusal, JsonObject> parseJson(String bodyText) {
         try {
-            return Either.right(new JsonObject(text));
+            return Either.right(new JsonObject(bodyText));
         } catch (DecodeException | ClassCastException e) {
-            return bad("body is not a JSON object");
+            return badRequest("body is not a JSON object");
         }
     }
 
-    private static <T> Either<Refusal, T> bad(String detail) {
+    private static <T> Either<Refusal, T> badRequest(String detail) {
         return Either.left(Refusal.of(RefusalReason.BAD_REQUEST, detail, 0));
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/http/package-info.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/http/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The callers' interface: {@code POST /v1/chat/completions} in the OpenAI shape, streamed as
- * server-sent events when {@code stream} is true, and {@code POST /v1/calls/SERVICE} for plain
- * services. Workspace and tier come in the {@code X-Onyx-Workspace} and {@code X-Onyx-Tier} headers;
- * an {@code Idempotency-Key} header names a request that must not run twice.
+ * The HTTP API for callers: {@code POST /v1/chat/completions}, which is OpenAI-compatible and streams
+ * server-sent events if {@code stream} is true, and {@code POST /v1/calls/SERVICE} for plain services.
+ * The headers {@code X-Onyx-Workspace} and {@code X-Onyx-Tier} give the workspace and the tier; the
+ * header {@code Idempotency-Key} identifies a request that must run at most once.
  */
 package org.onyxhinge.router.http;
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/order/OrderException.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/order/OrderException.java
@@ -1,6 +1,6 @@
 package org.onyxhinge.router.order;
 
-/** An order that was given to no target. */
+/** Failure of an order that was sent to no target. */
 public final class OrderException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
@@ -12,18 +12,20 @@
         this.conflict = conflict;
     }
 
-    /** Another order to the pool is under way. */
+    /** Another order to the pool is in progress. */
     static OrderException conflict(String pool) {
-        return new OrderException("another order to pool '" + pool + "' is under way; nothing was ordered", true);
+        return new OrderException("another order to pool '" + pool + "' is in progress; no order was sent", true);
     }
 
-    /** The key-value service could not be asked. */
+    /** The key-value service is unavailable. */
     static OrderException unavailable(String pool, Throwable cause) {
         return new OrderException(
-                "no order lease for pool '" + pool + "': " + cause.getMessage() + "; nothing was ordered", false);
+                "key-value service unavailable for the order to pool '" + pool + "': " + cause.getMessage()
+                        + "; no order was sent",
+                false);
     }
 
-    /** True when another order is under way. */
+    /** Returns true if another order to the pool is in progress. */
     public boolean isConflict() {
         return conflict;
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/order/OrderOutcome.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/order/OrderOutcome.java
@@ -5,14 +5,14 @@
 import org.onyxhinge.core.order.OrderStatus;
 
 /**
- * What became of an order to a pool.
+ * The outcome of an order to a pool.
  *
- * @param fencingToken the token it carried
- * @param targets the outcome at each target, by id
+ * @param fencingToken fencing token of the order
+ * @param targets outcome at each target
  */
 public record OrderOutcome(long fencingToken, List<TargetResult> targets) {
 
-    /** Copies the list. */
+    /** Makes a defensive copy of the list. */
     public OrderOutcome {
         targets = List.copyOf(targets);
     }
@@ -20,9 +20,9 @@
     /**
      * The outcome at one target.
      *
-     * @param targetId the target
-     * @param status what became of the order there
-     * @param detail why, for operators
+     * @param targetId id of the target
+     * @param status status of the order at the target
+     * @param detail explanation for operators
      */
     public record TargetResult(String targetId, OrderStatus status, String detail) {}
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/order/package-info.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/order/package-info.java
@@ -1,2 +1,2 @@
-/** Giving a pool's targets an order under a lease whose revision fences off older holders. */
+/** Orders to the targets of a pool, sent under a lease whose revision is the fencing token of the order. */
 package org.onyxhinge.router.order;
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/peer/AgentLink.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/peer/AgentConnection.java
@@ -9,31 +9,31 @@
 import org.onyxhinge.wire.peer.PeerTraffic;
 
 /**
- * The router's connection to one agent: subscribes on every connect, and connects again, less and less
- * often, until closed. Runs on the router's control context.
+ * The router's connection to one agent. Subscribes after every connect and reconnects with exponential
+ * backoff until closed. Runs on the router's control context.
  */
-final class AgentLink implements AutoCloseable {
+final class AgentConnection implements AutoCloseable {
 
-    private static final Logger LOG = Logger.getLogger(AgentLink.class);
-    private static final long FIRST_BACKOFF_MS = 100;
+    private static final Logger LOG = Logger.getLogger(AgentConnection.class);
+    private static final long INITIAL_BACKOFF_MS = 100;
     private static final long MAX_BACKOFF_MS = 5_000;
 
     private final Vertx vertx;
     private final NetClient net;
     private final PeerTraffic traffic;
-    private final PeerListener listener;
+    private final AgentMessageListener listener;
     private final String routerId;
     private final String engineId;
     private String address;
     private PeerConnection connection;
-    private long backoffMs = FIRST_BACKOFF_MS;
+    private long backoffMs = INITIAL_BACKOFF_MS;
     private boolean closed;
 
-    AgentLink(
+    AgentConnection(
             Vertx vertx,
             NetClient net,
             PeerTraffic traffic,
-            PeerListener listener,
+            AgentMessageListener listener,
             String routerId,
             String engineId,
             String address) {
@@ -44,22 +44,22 @@
         this.routerId = routerId;
         this.engineId = engineId;
         this.address = address;
-        dial();
+        connect();
     }
 
     boolean connected() {
         return connection != null;
     }
 
-    /** Where to connect from now on; a connection that is up stays. */
-    void address(String newAddress) {
+    /** Sets the address for the next connect; an established connection is kept. */
+    void updateAddress(String newAddress) {
         if (!newAddress.equals(address)) {
             address = newAddress;
-            backoffMs = FIRST_BACKOFF_MS;
+            backoffMs = INITIAL_BACKOFF_MS;
         }
     }
 
-    /** Sends a message; false when the agent is not connected. */
+    /** Sends a message; returns false if the agent is not connected. */
     boolean send(PeerMessage.ToAgent message) {
         if (connection == null) {
             return false;
@@ -76,44 +76,44 @@
         }
     }
 
-    private void dial() {
+    private void connect() {
         if (closed) {
             return;
         }
         int colon = address.lastIndexOf(':');
         net.connect(Integer.parseInt(address.substring(colon + 1)), address.substring(0, colon))
-                .onSuccess(this::connected)
-                .onFailure(e -> dialLater());
+                .onSuccess(this::onConnected)
+                .onFailure(e -> scheduleReconnect());
     }
 
-    private void connected(NetSocket socket) {
+    private void onConnected(NetSocket socket) {
         if (closed) {
             socket.close();
             return;
         }
-        backoffMs = FIRST_BACKOFF_MS;
-        connection = PeerConnection.attach(socket, traffic, this::received, this::lost);
+        backoffMs = INITIAL_BACKOFF_MS;
+        connection = PeerConnection.attach(socket, traffic, this::onMessage, this::onDisconnected);
         connection.send(new PeerMessage.Subscribe(routerId));
-        LOG.debugf("agent link up engine=%s address=%s", engineId, address);
+        LOG.debugf("agent connected engine=%s address=%s", engineId, address);
     }
 
-    private void lost() {
+    private void onDisconnected() {
         connection = null;
-        dialLater();
+        scheduleReconnect();
     }
 
-    private void dialLater() {
+    private void scheduleReconnect() {
         if (!closed) {
-            vertx.setTimer(backoffMs, t -> dial());
+            vertx.setTimer(backoffMs, t -> connect());
             backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
         }
     }
 
-    private void received(PeerMessage message) {
+    private void onMessage(PeerMessage message) {
         if (message instanceof PeerMessage.ToRouter m) {
-            listener.received(engineId, m);
+            listener.messageReceived(engineId, m);
         } else {
-            LOG.warnf("peer message not expected engine=%s message=%s", engineId, message);
+            LOG.warnf("unexpected peer message engine=%s message=%s", engineId, message);
             connection.close();
         }
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/peer/package-info.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Finding agents in the key-value service and keeping connections to those this router follows. */
+/** Discovery of agents in the key-value service, and the connections to the agents selected for this router. */
 package org.onyxhinge.router.peer;
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/dispatch/DispatcherTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/dispatch/DispatcherTest.java
@@ -37,8 +37,9 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * What a dispatcher does when a flight ends while it still waits for a connection to its target. The
- * target here has one connection, held by an earlier flight, so the wait is certain and needs no clock.
+ * Tests requests that end while they wait for a connection to their target, and requests whose target is
+ * unreachable. The connection pool has a single connection, which an earlier request occupies, so the
+ * wait does not depend on timing.
  */
 class DispatcherTest {
 
@@ -47,34 +48,34 @@
 
     private final Vertx vertx = Vertx.vertx();
     private final HttpClient client = vertx.createHttpClient();
-    private final RecordingControl control = new RecordingControl();
-    private final BlockingQueue<HttpServerRequest> atTarget = new LinkedBlockingQueue<>();
-    private final List<String> keysRun = new CopyOnWriteArrayList<>();
-    private final BlockingQueue<HttpServerRequest> callers = new LinkedBlockingQueue<>();
-    private Context traffic;
+    private final RecordingControlPlane control = new RecordingControlPlane();
+    private final BlockingQueue<HttpServerRequest> targetRequests = new LinkedBlockingQueue<>();
+    private final List<String> executedKeys = new CopyOnWriteArrayList<>();
+    private final BlockingQueue<HttpServerRequest> callerRequests = new LinkedBlockingQueue<>();
+    private Context trafficContext;
     private Dispatcher dispatcher;
     private HttpServer target;
-    private HttpServer front;
+    private HttpServer callerServer;
     private EngineInfo engine;
 
     @BeforeEach
     void start() {
-        traffic = vertx.getOrCreateContext();
+        trafficContext = vertx.getOrCreateContext();
         var client = vertx.createHttpClient(new HttpClientOptions(), new PoolOptions().setHttp1MaxSize(1));
         dispatcher = Dispatcher.create(client, control, new RouterMetrics());
         target = Launch.await(
                 vertx.createHttpServer()
                         .requestHandler(req -> {
-                            keysRun.add(req.getHeader("idempotency-key"));
-                            atTarget.add(req);
+                            executedKeys.add(req.getHeader("idempotency-key"));
+                            targetRequests.add(req);
                         })
                         .listen(0, "127.0.0.1"),
                 WAIT_MS);
-        front = Launch.await(
+        callerServer = Launch.await(
                 vertx.createHttpServer()
                         .requestHandler(req -> {
                             req.pause();
-                            callers.add(req);
+                            callerRequests.add(req);
                         })
                         .listen(0, "127.0.0.1"),
                 WAIT_MS);
@@ -87,103 +88,104 @@
     }
 
     @Nested
-    class EndedWhileWaitingForAConnection {
+    class EndedWhileWaitingForConnection {
 
         @Test
-        void anAbandonedRequestNeverReachesTheTarget() throws Exception {
-            Flight first = flight("k-first");
-            Flight waiting = flight("k-waiting");
-            Flight last = flight("k-last");
-            onTraffic(() -> dispatcher.dispatch(first, engine));
-            HttpServerRequest held = take(atTarget);
-            onTraffic(() -> dispatcher.dispatch(waiting, engine));
-            onTraffic(() -> dispatcher.abandoned(waiting));
-            onTraffic(() -> dispatcher.dispatch(last, engine));
-            held.response().end("{}");
-            take(atTarget).response().end("{}");
-            assertThat(keysRun, contains("k-first", "k-last"));
-            assertThat(control.notRun, contains(waiting.spec().requestId()));
+        void requestOfDisconnectedCallerIsNotSent() throws Exception {
+            InFlightRequest first = newRequest("k-first");
+            InFlightRequest waiting = newRequest("k-waiting");
+            InFlightRequest last = newRequest("k-last");
+            onTrafficContext(() -> dispatcher.dispatch(first, engine));
+            HttpServerRequest firstAtTarget = awaitRequest(targetRequests);
+            onTrafficContext(() -> dispatcher.dispatch(waiting, engine));
+            onTrafficContext(() -> dispatcher.callerDisconnected(waiting));
+            onTrafficContext(() -> dispatcher.dispatch(last, engine));
+            firstAtTarget.response().end("{}");
+            awaitRequest(targetRequests).response().end("{}");
+            assertThat(executedKeys, contains("k-first", "k-last"));
+            assertThat(control.endedUnsent, contains(waiting.spec().requestId()));
         }
 
         @Test
-        void aStoppedRequestNeverReachesTheTarget() throws Exception {
-            Flight first = flight("k-first");
-            Flight waiting = flight("k-waiting");
-            Flight last = flight("k-last");
-            onTraffic(() -> dispatcher.dispatch(first, engine));
-            HttpServerRequest held = take(atTarget);
-            onTraffic(() -> dispatcher.dispatch(waiting, engine));
-            onTraffic(() -> dispatcher.cancel(waiting, Refusal.of(RefusalReason.PREEMPTED, "stopped", 0)));
-            onTraffic(() -> dispatcher.dispatch(last, engine));
-            held.response().end("{}");
-            take(atTarget).response().end("{}");
-            assertThat(keysRun, contains("k-first", "k-last"));
+        void cancelledRequestIsNotSent() throws Exception {
+            InFlightRequest first = newRequest("k-first");
+            InFlightRequest waiting = newRequest("k-waiting");
+            InFlightRequest last = newRequest("k-last");
+            onTrafficContext(() -> dispatcher.dispatch(first, engine));
+            HttpServerRequest firstAtTarget = awaitRequest(targetRequests);
+            onTrafficContext(() -> dispatcher.dispatch(waiting, engine));
+            onTrafficContext(() -> dispatcher.cancel(waiting, Refusal.of(RefusalReason.PREEMPTED, "stopped", 0)));
+            onTrafficContext(() -> dispatcher.dispatch(last, engine));
+            firstAtTarget.response().end("{}");
+            awaitRequest(targetRequests).response().end("{}");
+            assertThat(executedKeys, contains("k-first", "k-last"));
             assertThat(
-                    "its claim is given back",
-                    control.notRun,
+                    "its idempotency claim is released",
+                    control.endedUnsent,
                     contains(waiting.spec().requestId()));
         }
     }
 
     @Nested
-    class TargetGone {
+    class TargetUnreachable {
 
         @Test
-        void anUnsentRequestIsHandedBackAsNotRun() throws Exception {
+        void unsentRequestReturnsToSchedulerAsNotRun() throws Exception {
             Launch.await(target.close(), WAIT_MS);
-            Flight f = flight("k-unsent");
-            onTraffic(() -> dispatcher.dispatch(f, engine));
+            InFlightRequest f = newRequest("k-unsent");
+            onTrafficContext(() -> dispatcher.dispatch(f, engine));
             String requestId = control.unsent.poll(WAIT_MS, TimeUnit.MILLISECONDS);
             assertThat(requestId, equalTo(f.spec().requestId()));
-            assertThat(keysRun.isEmpty(), is(true));
+            assertThat(executedKeys.isEmpty(), is(true));
         }
 
         @Test
-        void aRequestStoppedWhileItIsHandedBackIsStillAnswered() throws Exception {
+        void requestCancelledAfterConnectFailureIsAnswered() throws Exception {
             Launch.await(target.close(), WAIT_MS);
-            Flight f = flight("k-stopped");
-            onTraffic(() -> dispatcher.dispatch(f, engine));
+            InFlightRequest f = newRequest("k-stopped");
+            onTrafficContext(() -> dispatcher.dispatch(f, engine));
             control.unsent.poll(WAIT_MS, TimeUnit.MILLISECONDS);
-            onTraffic(() -> dispatcher.cancel(f, Refusal.of(RefusalReason.PREEMPTED, "stopped", 0)));
-            assertThat(f.caller.response().ended(), is(true));
-            assertThat(control.notRun, contains(f.spec().requestId()));
+            onTrafficContext(() -> dispatcher.cancel(f, Refusal.of(RefusalReason.PREEMPTED, "stopped", 0)));
+            assertThat(f.httpRequest.response().ended(), is(true));
+            assertThat(control.endedUnsent, contains(f.spec().requestId()));
         }
     }
 
-    private Flight flight(String key) throws InterruptedException {
-        client.request(HttpMethod.POST, front.actualPort(), "127.0.0.1", "/").compose(req -> req.send());
-        HttpServerRequest caller = take(callers);
+    private InFlightRequest newRequest(String key) throws InterruptedException {
+        client.request(HttpMethod.POST, callerServer.actualPort(), "127.0.0.1", "/")
+                .compose(req -> req.send());
+        HttpServerRequest httpRequest = awaitRequest(callerRequests);
         RequestSpec spec = new RequestSpec(
                 "r-" + key, "w", TIER, "print", "print-house", 10, 1, 0, 0, key, true, System.nanoTime() / 1_000_000);
         CallerRequest request =
                 new CallerRequest("w", "gold", "print", key, new JsonObject(), new JsonArray(), 1, false, true);
-        return Flight.create(dispatcher, spec, request, caller, traffic, System.nanoTime());
+        return InFlightRequest.create(dispatcher, spec, request, httpRequest, trafficContext, System.nanoTime());
     }
 
-    private void onTraffic(Runnable work) {
+    private void onTrafficContext(Runnable action) {
         Launch.await(
-                Future.future(p -> traffic.runOnContext(v -> {
-                    work.run();
+                Future.future(p -> trafficContext.runOnContext(v -> {
+                    action.run();
                     p.complete();
                 })),
                 WAIT_MS);
     }
 
-    private static HttpServerRequest take(BlockingQueue<HttpServerRequest> queue) throws InterruptedException {
+    private static HttpServerRequest awaitRequest(BlockingQueue<HttpServerRequest> queue) throws InterruptedException {
         HttpServerRequest req = queue.poll(WAIT_MS, TimeUnit.MILLISECONDS);
         if (req == null) {
-            throw new IllegalStateException("nothing arrived");
+            throw new IllegalStateException("no request arrived within 20 s");
         }
         return req;
     }
 
-    /** Records what the dispatcher reports. */
-    private static final class RecordingControl implements ControlPlane {
-        private final List<String> notRun = new ArrayList<>();
+    /** Records the events that the dispatcher reports. */
+    private static final class RecordingControlPlane implements ControlPlane {
+        private final List<String> endedUnsent = new ArrayList<>();
         private final BlockingQueue<String> unsent = new LinkedBlockingQueue<>();
 
         @Override
-        public void submit(Flight flight) {
+        public void submit(InFlightRequest request) {
             throw new UnsupportedOperationException("not used here");
         }
 
@@ -198,7 +200,7 @@
         @Override
         public void ended(String requestId, boolean sent) {
             if (!sent) {
-                notRun.add(requestId);
+                endedUnsent.add(requestId);
             }
         }
     }
