--- a/onyxhinge-agent/src/main/java/org/onyxhinge/agent/RouterConnections.java
+++ b/onyxhinge-agent/src/main/java/org/onyxhinge/agent/RouterConnections.java
@@ -41,7 +41,8 @@
     private final OrderExecutor orders;
     private final PeerTraffic traffic = new PeerTraffic();
     private final Map<String, PeerConnection> connectionsByRouter = new TreeMap<>();
-    private final PreemptionBroker preemptionBroker = PreemptionBroker.create(PREEMPTION_TURN_MS, PREEMPTION_LAST_TURN_MS);
+    private final PreemptionBroker preemptionBroker =
+            PreemptionBroker.create(PREEMPTION_TURN_MS, PREEMPTION_LAST_TURN_MS);
     private NetServer server;
     private long preemptionTimer = -1;
 
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/dispatch/InFlightRequest.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/dispatch/InFlightRequest.java
@@ -3,8 +3,8 @@
 import io.vertx.core.Context;
 import io.vertx.core.http.HttpClientRequest;
 import io.vertx.core.http.HttpServerRequest;
-import org.onyxhinge.core.chart.StateMachine;
 import org.onyxhinge.core.chart.StateChart;
+import org.onyxhinge.core.chart.StateMachine;
 import org.onyxhinge.core.model.RequestSpec;
 import org.onyxhinge.router.http.CallerRequest;
 
