--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/ConfirmedConfig.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/ConfirmedConfig.java
@@ -7,8 +7,8 @@
  * call is never checked against one configuration under the confirmation of another.
  *
  * @param config the configuration
- * @param confirmedAtMs when the confirming read was sent, by the suspend-aware clock; {@code NEVER_CONFIRMED_MS} before the
- *     first confirmation
+ * @param confirmedAtMs when the confirming read was sent, by the suspend-aware clock; {@code NEVER_CONFIRMED_MS}
+ *     before the first confirmation
  */
 record ConfirmedConfig(ForwardingConfig config, long confirmedAtMs) {
 
