--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/MonotonicClock.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/MonotonicClock.java
@@ -1,8 +1,8 @@
 package org.onyxhinge.wire;
 
 /**
- * The clock every time limit is measured by: it never goes back and also runs while a process is paused,
- * though not while the whole machine is suspended ({@link SuspendAwareClock} does).
+ * The monotonic clock for timeouts and deadlines. It never goes back and advances while the process is paused, but
+ * not while the machine is suspended; {@link SuspendAwareClock} covers that case.
  */
 public final class MonotonicClock {
 
@@ -10,7 +10,7 @@
 
     private MonotonicClock() {}
 
-    /** Milliseconds from an arbitrary start; only differences within one process mean anything. */
+    /** Milliseconds since an arbitrary origin; only differences between values in one process are meaningful. */
     public static long nowMs() {
         return System.nanoTime() / NS_PER_MS;
     }
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvClient.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvClient.java
@@ -19,20 +19,21 @@
 import org.onyxhinge.wire.frame.WireException;
 
 /**
- * A client of the key-value service over one TCP connection, reconnecting with backoff. Calls fail
- * fast with {@link KvException} while the service is unreachable, and after {@code callTimeoutMs}
- * without a reply; the write may still have taken effect, so callers that must know read back.
- * Watches are made again after a reconnect, from the last revision they saw.
+ * A client of the key-value service over one TCP connection that reconnects with exponential backoff.
+ * Calls fail with {@link KvException} immediately while there is no connection, and after
+ * {@code callTimeoutMs} without a reply. A write that timed out may still have taken effect; a caller
+ * that must know reads the key back. After a reconnect, watches are re-established from the last
+ * revision they received.
  *
- * <p>All state lives on the context the client was created on; methods may be called from any thread.
+ * <p>All state is confined to the client's Vert.x context; methods may be called from any thread.
  */
 public final class KvClient implements KvStore, AutoCloseable {
 
     private static final Logger LOG = Logger.getLogger(KvClient.class);
     private static final long MAX_BACKOFF_MS = 2_000;
-    private static final long FIRST_BACKOFF_MS = 50;
+    private static final long INITIAL_BACKOFF_MS = 50;
     private static final long WATCH_RETRY_MS = 200;
-    private static final int DEAD_AFTER_TIMEOUTS = 3;
+    private static final int MAX_CONSECUTIVE_TIMEOUTS = 3;
 
     private final Vertx vertx;
     private final Context context;
@@ -44,8 +45,8 @@
     private final Map<Long, WatchState> watches = new HashMap<>();
     private NetSocket socket;
     private long nextCallId = 1;
-    private long backoffMs = FIRST_BACKOFF_MS;
-    private int timeoutsInARow;
+    private long backoffMs = INITIAL_BACKOFF_MS;
+    private int consecutiveTimeouts;
     private long callCount;
     private boolean closed;
 
@@ -59,10 +60,10 @@
                 new NetClientOptions().setConnectTimeout((int) callTimeoutMs).setTcpNoDelay(true));
     }
 
-    /** Creates a client and starts connecting; calls made before the connection is up fail as unavailable. */
+    /** Creates a client and starts connecting; calls before the connection is established fail as unavailable. */
     public static KvClient connect(Vertx vertx, String host, int port, long callTimeoutMs) {
         KvClient client = new KvClient(vertx, host, port, callTimeoutMs);
-        client.context.runOnContext(v -> client.dial());
+        client.context.runOnContext(v -> client.openConnection());
         return client;
     }
 
@@ -106,12 +107,12 @@
         context.runOnContext(v -> startWatch(new WatchState(prefix, fromRevision, events, compacted)));
     }
 
-    /** Calls made so far, for the key-value budget figures. */
+    /** Number of calls sent so far, reported in the state dump. */
     public long callCount() {
         return callCount;
     }
 
-    /** True while the connection is up. */
+    /** True while the connection is established. */
     public boolean connected() {
         return socket != null;
     }
@@ -120,40 +121,40 @@
     public void close() {
         context.runOnContext(v -> {
             closed = true;
-            failAll("client closed");
+            failPending("client closed");
             net.close();
         });
     }
 
-    private Future<KvMessage.Reply> call(LongFunction<KvMessage.Call> make) {
+    private Future<KvMessage.Reply> call(LongFunction<KvMessage.Call> messageFactory) {
         Promise<KvMessage.Reply> promise = Promise.promise();
-        context.runOnContext(v -> send(make.apply(nextCallId++), promise));
+        context.runOnContext(v -> send(messageFactory.apply(nextCallId++), promise));
         return promise.future().compose(this::checkStatus);
     }
 
     private void send(KvMessage.Call call, Promise<KvMessage.Reply> promise) {
         if (socket == null) {
-            promise.fail(KvException.unavailable("key-value service " + host + ":" + port + " not connected"));
+            promise.fail(KvException.unavailable("not connected to key-value service " + host + ":" + port));
             return;
         }
         callCount++;
         pending.put(call.callId(), promise);
-        long timer = vertx.setTimer(callTimeoutMs, t -> timedOut(call.callId()));
+        long timer = vertx.setTimer(callTimeoutMs, t -> callTimedOut(call.callId()));
         promise.future().onComplete(r -> vertx.cancelTimer(timer));
         socket.write(FrameReader.frame(KvCodec.encode(call)));
     }
 
-    /** No reply came: the call fails, and after several in a row the connection is given up as dead. */
-    private void timedOut(long callId) {
+    /** Fails a call that got no reply; closes the connection after several consecutive timeouts. */
+    private void callTimedOut(long callId) {
         Promise<KvMessage.Reply> p = pending.remove(callId);
         if (p == null) {
             return;
         }
         p.fail(KvException.unavailable("no reply within " + callTimeoutMs + " ms"));
-        timeoutsInARow++;
-        if (timeoutsInARow >= DEAD_AFTER_TIMEOUTS && socket != null) {
-            LOG.warnf("kv connection silent host=%s port=%d, reconnecting", host, port);
-            timeoutsInARow = 0;
+        consecutiveTimeouts++;
+        if (consecutiveTimeouts >= MAX_CONSECUTIVE_TIMEOUTS && socket != null) {
+            LOG.warnf("kv connection unresponsive host=%s port=%d, reconnecting", host, port);
+            consecutiveTimeouts = 0;
             socket.close();
         }
     }
@@ -167,55 +168,55 @@
         return Future.failedFuture(KvException.of(reply.status(), key, current));
     }
 
-    private void dial() {
+    private void openConnection() {
         if (closed) {
             return;
         }
-        net.connect(port, host).onSuccess(this::connected).onFailure(e -> retryLater());
+        net.connect(port, host).onSuccess(this::connectionOpened).onFailure(e -> scheduleReconnect());
     }
 
-    private void connected(NetSocket s) {
+    private void connectionOpened(NetSocket s) {
         socket = s;
-        backoffMs = FIRST_BACKOFF_MS;
-        s.handler(FrameReader.create(this::frame, this::badFrame));
-        s.closeHandler(v -> lost());
-        List<WatchState> again = List.copyOf(watches.values());
+        backoffMs = INITIAL_BACKOFF_MS;
+        s.handler(FrameReader.create(this::handleFrame, this::rejectFrame));
+        s.closeHandler(v -> connectionLost());
+        List<WatchState> activeWatches = List.copyOf(watches.values());
         watches.clear();
-        again.forEach(this::startWatch);
+        activeWatches.forEach(this::startWatch);
         LOG.debugf("kv connected host=%s port=%d", host, port);
     }
 
-    private void lost() {
+    private void connectionLost() {
         socket = null;
-        failAll("connection to key-value service lost");
-        retryLater();
+        failPending("connection to key-value service lost");
+        scheduleReconnect();
     }
 
-    private void retryLater() {
+    private void scheduleReconnect() {
         if (!closed) {
-            vertx.setTimer(backoffMs, t -> dial());
+            vertx.setTimer(backoffMs, t -> openConnection());
             backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
         }
     }
 
-    private void failAll(String why) {
+    private void failPending(String reason) {
         List<Promise<KvMessage.Reply>> all = List.copyOf(pending.values());
         pending.clear();
-        all.forEach(p -> p.tryFail(KvException.unavailable(why)));
+        all.forEach(p -> p.tryFail(KvException.unavailable(reason)));
     }
 
-    /** Makes a watch under a new id; answers and events of an earlier id are no longer heard. */
+    /** Starts a watch under a new id; replies and events for an earlier id of the watch are ignored. */
     private void startWatch(WatchState w) {
         long id = nextCallId++;
         watches.put(id, w);
         Promise<KvMessage.Reply> promise = Promise.promise();
-        promise.future().onSuccess(r -> watchAnswered(id, r.status())).onFailure(e -> retryWatch(id));
+        promise.future().onSuccess(r -> watchReplied(id, r.status())).onFailure(e -> retryWatch(id));
         send(new KvMessage.Watch(id, w.prefix, w.lastRevision), promise);
     }
 
-    private void watchAnswered(long id, KvStatus status) {
+    private void watchReplied(long id, KvStatus status) {
         switch (status) {
-            case OK -> LOG.debugf("kv watch held id=%d", id);
+            case OK -> LOG.debugf("kv watch established id=%d", id);
             case COMPACTED -> {
                 WatchState w = watches.remove(id);
                 if (w != null) {
@@ -226,7 +227,7 @@
         }
     }
 
-    /** Tries a failed watch again shortly, unless a reconnect has replaced it meanwhile. */
+    /** Retries a failed watch after a delay, unless a reconnect has replaced it in the meantime. */
     private void retryWatch(long id) {
         if (socket != null) {
             vertx.setTimer(WATCH_RETRY_MS, t -> {
@@ -238,30 +239,30 @@
         }
     }
 
-    private void frame(Buffer body) {
+    private void handleFrame(Buffer body) {
         KvMessage m;
         try {
             m = KvCodec.decode(body.getBytes());
         } catch (WireException e) {
-            badFrame(e);
+            rejectFrame(e);
             return;
         }
         switch (m) {
-            case KvMessage.Reply r -> reply(r);
-            case KvMessage.Event e -> event(e);
-            case KvMessage.Call c -> badFrame(new WireException("service sent a call " + c));
+            case KvMessage.Reply r -> handleReply(r);
+            case KvMessage.Event e -> handleEvent(e);
+            case KvMessage.Call c -> rejectFrame(new WireException("unexpected call from the key-value service: " + c));
         }
     }
 
-    private void reply(KvMessage.Reply r) {
-        timeoutsInARow = 0;
+    private void handleReply(KvMessage.Reply r) {
+        consecutiveTimeouts = 0;
         Promise<KvMessage.Reply> p = pending.remove(r.callId());
         if (p != null) {
             p.tryComplete(r);
         }
     }
 
-    private void event(KvMessage.Event e) {
+    private void handleEvent(KvMessage.Event e) {
         WatchState w = watches.get(e.watchId());
         if (w != null && e.revision() > w.lastRevision) {
             w.lastRevision = e.revision();
@@ -269,8 +270,8 @@
         }
     }
 
-    private void badFrame(WireException e) {
-        LOG.warnf("kv bad frame from host=%s port=%d error=%s", host, port, e.getMessage());
+    private void rejectFrame(WireException e) {
+        LOG.warnf("kv frame rejected host=%s port=%d error=%s", host, port, e.getMessage());
         if (socket != null) {
             socket.close();
         }
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvCodec.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvCodec.java
@@ -12,7 +12,7 @@
 
 /**
  * MessagePack codec for {@link KvMessage}: an array of a type tag and the record's fields in order.
- * Malformed bodies raise {@link WireException}; nothing is half-applied.
+ * A malformed body throws {@link WireException}; a message is never returned partially decoded.
  */
 public final class KvCodec {
 
@@ -22,7 +22,7 @@
     private static final int DELETE = 4;
     private static final int WATCH = 5;
     private static final int GRANT = 6;
-    private static final int KEEP = 7;
+    private static final int KEEP_ALIVE = 7;
     private static final int REVOKE = 8;
     private static final int REPLY = 20;
     private static final int EVENT = 21;
@@ -54,7 +54,10 @@
                 case KvMessage.LeaseGrant g ->
                     p.packArrayHeader(3).packInt(GRANT).packLong(g.callId()).packLong(g.ttlMs());
                 case KvMessage.LeaseKeepAlive k ->
-                    p.packArrayHeader(3).packInt(KEEP).packLong(k.callId()).packLong(k.leaseId());
+                    p.packArrayHeader(3)
+                            .packInt(KEEP_ALIVE)
+                            .packLong(k.callId())
+                            .packLong(k.leaseId());
                 case KvMessage.LeaseRevoke r ->
                     p.packArrayHeader(3).packInt(REVOKE).packLong(r.callId()).packLong(r.leaseId());
                 case KvMessage.Reply r -> writeReply(p, r);
@@ -66,7 +69,7 @@
         }
     }
 
-    /** Decodes a frame body; throws {@link WireException} when it is not a key-value message. */
+    /** Decodes a frame body; throws {@link WireException} if it is not a valid key-value message. */
     public static KvMessage decode(byte[] body) {
         try (MessageUnpacker u = MessagePack.newDefaultUnpacker(body)) {
             u.unpackArrayHeader();
@@ -75,11 +78,11 @@
                 case GET -> new KvMessage.Get(u.unpackLong(), u.unpackString());
                 case RANGE -> new KvMessage.Range(u.unpackLong(), u.unpackString());
                 case PUT ->
-                    new KvMessage.Put(u.unpackLong(), u.unpackString(), bytes(u), u.unpackLong(), u.unpackLong());
+                    new KvMessage.Put(u.unpackLong(), u.unpackString(), readBytes(u), u.unpackLong(), u.unpackLong());
                 case DELETE -> new KvMessage.Delete(u.unpackLong(), u.unpackString(), u.unpackLong());
                 case WATCH -> new KvMessage.Watch(u.unpackLong(), u.unpackString(), u.unpackLong());
                 case GRANT -> new KvMessage.LeaseGrant(u.unpackLong(), u.unpackLong());
-                case KEEP -> new KvMessage.LeaseKeepAlive(u.unpackLong(), u.unpackLong());
+                case KEEP_ALIVE -> new KvMessage.LeaseKeepAlive(u.unpackLong(), u.unpackLong());
                 case REVOKE -> new KvMessage.LeaseRevoke(u.unpackLong(), u.unpackLong());
                 case REPLY -> readReply(u);
                 case EVENT -> new KvMessage.Event(u.unpackLong(), u.unpackLong(), u.unpackBoolean(), readEntry(u));
@@ -118,7 +121,7 @@
         long revision = u.unpackLong();
         int n = u.unpackArrayHeader();
         if (n > MAX_ENTRIES) {
-            throw new WireException("reply carries " + n + " entries, more than " + MAX_ENTRIES);
+            throw new WireException("reply has " + n + " entries, limit " + MAX_ENTRIES);
         }
         List<KvEntry> entries = new ArrayList<>(n);
         for (int i = 0; i < n; i++) {
@@ -144,10 +147,10 @@
 
     private static KvEntry readEntry(MessageUnpacker u) throws IOException {
         u.unpackArrayHeader();
-        return new KvEntry(u.unpackString(), bytes(u), u.unpackLong(), u.unpackLong(), u.unpackLong());
+        return new KvEntry(u.unpackString(), readBytes(u), u.unpackLong(), u.unpackLong(), u.unpackLong());
     }
 
-    private static byte[] bytes(MessageUnpacker u) throws IOException {
+    private static byte[] readBytes(MessageUnpacker u) throws IOException {
         int n = u.unpackBinaryHeader();
         return u.readPayload(n);
     }
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvException.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvException.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * A key-value call that did not do what was asked. {@link #status()} says why; on a conflict {@link
- * #current()} holds the key as stored. A {@link KvStatus#UNAVAILABLE} call may or may not have taken
- * effect: the reply can be lost after the write.
+ * A failed key-value call. {@link #status()} is the reason; on a conflict {@link #current()} is the key
+ * as stored. A call that failed as {@link KvStatus#UNAVAILABLE} may have taken effect, because the reply
+ * can be lost after the write.
  */
 public final class KvException extends RuntimeException {
 
@@ -20,22 +20,22 @@
         this.current = current;
     }
 
-    /** The service could not be reached, or did not answer in time. */
+    /** An exception for a service that could not be reached or did not reply in time. */
     public static KvException unavailable(String message) {
         return new KvException(KvStatus.UNAVAILABLE, message, null);
     }
 
-    /** The service answered with a status other than {@link KvStatus#OK}. */
+    /** An exception for a reply with a status other than {@link KvStatus#OK}. */
     public static KvException of(KvStatus status, String key, KvEntry current) {
         return new KvException(status, status + " on " + key, current);
     }
 
-    /** Why the call failed. */
+    /** The reason for the failure. */
     public KvStatus status() {
         return status;
     }
 
-    /** The key as stored, when the service sent it back. */
+    /** The key as stored, if the reply included it. */
     public Optional<KvEntry> current() {
         return Optional.ofNullable(current);
     }
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvKeys.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvKeys.java
@@ -1,15 +1,15 @@
 package org.onyxhinge.wire.kv;
 
-/** Where onyxhinge's processes keep their keys in the key-value service. */
+/** Prefixes of the keys that onyxhinge processes store in the key-value service. */
 public final class KvKeys {
 
-    /** Routers' membership leases: {@code members/routers/ROUTER} holds its callers' address. */
+    /** Router membership: {@code members/routers/ROUTER}, bound to a lease, holds the address for callers. */
     public static final String ROUTERS = "members/routers/";
 
-    /** Where agents are found: {@code members/agents/POOL/TARGET} holds the agent's peer address. */
+    /** Agent discovery: {@code members/agents/POOL/TARGET} holds the agent's peer address. */
     public static final String AGENTS = "members/agents/";
 
-    /** Order leases: {@code orders/POOL} is held while an order to the pool is under way. */
+    /** Order locks: {@code orders/POOL}, bound to a lease, exists while an order to the pool is in progress. */
     public static final String ORDERS = "orders/";
 
     /** Claims of non-idempotent requests: {@code once/WORKSPACE/IDEMPOTENCY_KEY} holds the request id. */
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvMessage.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvMessage.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /**
- * Calls to the key-value service and what it sends back. Every call carries a {@code callId} chosen by
- * the client; the reply carries the same id. Watches answer with one {@link Reply} and then {@link
- * Event}s under the watch's call id.
+ * Messages of the key-value protocol. Every call has a {@code callId} chosen by the client, which the
+ * reply repeats. A watch is answered by one {@link Reply} and then by {@link Event}s with the watch's
+ * call id.
  */
 public sealed interface KvMessage {
 
-    /** Put when the key must not exist yet. */
+    /** Expected version for a put that requires the key not to exist. */
     long ABSENT = 0;
 
-    /** Put or delete whatever the current version. */
+    /** Expected version for an unconditional put or delete. */
     long ANY = -1;
 
-    /** A message from client to service. */
+    /** A request from the client to the service. */
     sealed interface Call extends KvMessage {
-        /** The client-chosen id the reply will carry. */
+        /** The id chosen by the client, repeated in the reply. */
         long callId();
     }
 
@@ -43,7 +43,7 @@
      * @param callId id for the reply
      * @param key the key
      * @param value the new value
-     * @param expectedVersion the version the write requires
+     * @param expectedVersion the version required for the write
      * @param leaseId lease to bind the key to, or 0
      */
     record Put(long callId, String key, byte[] value, long expectedVersion, long leaseId) implements Call {}
@@ -53,7 +53,7 @@
      *
      * @param callId id for the reply
      * @param key the key
-     * @param expectedVersion the version the delete requires
+     * @param expectedVersion the version required for the delete
      */
     record Delete(long callId, String key, long expectedVersion) implements Call {}
 
@@ -62,12 +62,12 @@
      *
      * @param callId id for the reply and every event
      * @param prefix key prefix
-     * @param fromRevision the last revision the caller has seen
+     * @param fromRevision the last revision that the caller has received
      */
     record Watch(long callId, String prefix, long fromRevision) implements Call {}
 
     /**
-     * Grants a lease that lapses after {@code ttlMs} without a keep-alive.
+     * Grants a lease that expires after {@code ttlMs} without a keep-alive.
      *
      * @param callId id for the reply
      * @param ttlMs time to live
@@ -75,7 +75,7 @@
     record LeaseGrant(long callId, long ttlMs) implements Call {}
 
     /**
-     * Keeps a lease alive for another time to live.
+     * Renews a lease for another time to live.
      *
      * @param callId id for the reply
      * @param leaseId the lease
@@ -83,7 +83,7 @@
     record LeaseKeepAlive(long callId, long leaseId) implements Call {}
 
     /**
-     * Ends a lease now and deletes its keys.
+     * Revokes a lease and deletes its keys.
      *
      * @param callId id for the reply
      * @param leaseId the lease
@@ -91,13 +91,13 @@
     record LeaseRevoke(long callId, long leaseId) implements Call {}
 
     /**
-     * The answer to one call.
+     * The reply to a call.
      *
      * @param callId the call's id
-     * @param status outcome
+     * @param status outcome of the call
      * @param revision the service's revision after the call
      * @param entries keys read, or the key as now stored after a put or conflict
-     * @param leaseId the lease granted or kept, or 0
+     * @param leaseId the lease granted or renewed, or 0
      */
     record Reply(long callId, KvStatus status, long revision, List<KvEntry> entries, long leaseId)
             implements KvMessage {
@@ -109,11 +109,11 @@
     }
 
     /**
-     * One change seen by a watch.
+     * A change reported to a watch.
      *
      * @param watchId the watch's call id
      * @param revision the revision of the change
-     * @param deleted true when the key was deleted (or its lease lapsed)
+     * @param deleted true when the key was deleted (or its lease expired)
      * @param entry the key after the change; for a delete, its last value with version 0
      */
     record Event(long watchId, long revision, boolean deleted, KvEntry entry) implements KvMessage {}
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvMirror.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvMirror.java
@@ -11,9 +11,9 @@
 import org.jboss.logging.Logger;
 
 /**
- * A copy of every key under a prefix, kept current: read whole once, then followed by a watch; read
- * whole again when the service no longer has the history the watch needs. Through an outage the copy
- * stays as it was. A key is never replaced by an older revision of itself. Runs on the client's context.
+ * Keeps a listener up to date with all keys under a prefix: reads the prefix once, then watches it, and
+ * reads it again if the service has compacted the history that the watch needs. During an outage no
+ * change is reported. A key is never replaced by an older revision. Runs on the client's context.
  */
 public final class KvMirror {
 
@@ -25,9 +25,9 @@
     private final String prefix;
     private final Listener listener;
     private final Map<String, Long> revisions = new HashMap<>();
-    private final Promise<Long> loaded = Promise.promise();
+    private final Promise<Long> firstLoad = Promise.promise();
 
-    /** Hears what changes. */
+    /** Receives the changes. */
     public interface Listener {
 
         /** A key was created or changed. */
@@ -36,7 +36,7 @@
         /** A key was deleted. */
         void deleted(String key);
 
-        /** Everything up to {@code revision} has been heard. */
+        /** All changes up to {@code revision} have been reported. */
         void upTo(long revision);
     }
 
@@ -47,33 +47,33 @@
         this.listener = listener;
     }
 
-    /** Starts copying; the future completes, with the revision, once the first whole read is in. */
+    /** Starts mirroring; the future completes with the revision of the first successful read. */
     public static Future<Long> start(Vertx vertx, KvStore kv, String prefix, Listener listener) {
         KvMirror mirror = new KvMirror(vertx, kv, prefix, listener);
         mirror.load();
-        return mirror.loaded.future();
+        return mirror.firstLoad.future();
     }
 
     private void load() {
-        kv.range(prefix).onSuccess(this::loaded).onFailure(e -> {
-            LOG.debugf("mirror not loaded yet prefix=%s error=%s", prefix, e.getMessage());
+        kv.range(prefix).onSuccess(this::apply).onFailure(e -> {
+            LOG.debugf("kv mirror load failed prefix=%s error=%s", prefix, e.getMessage());
             vertx.setTimer(RETRY_MS, t -> load());
         });
     }
 
-    private void loaded(KvMessage.Reply reply) {
-        Set<String> gone = new HashSet<>(revisions.keySet());
+    private void apply(KvMessage.Reply reply) {
+        Set<String> removed = new HashSet<>(revisions.keySet());
         for (KvEntry entry : reply.entries()) {
-            gone.remove(entry.key());
+            removed.remove(entry.key());
             put(entry);
         }
-        gone.forEach(this::delete);
+        removed.forEach(this::delete);
         listener.upTo(reply.revision());
-        kv.watch(prefix, reply.revision(), this::event, this::load);
-        loaded.tryComplete(reply.revision());
+        kv.watch(prefix, reply.revision(), this::applyEvent, this::load);
+        firstLoad.tryComplete(reply.revision());
     }
 
-    private void event(KvMessage.Event event) {
+    private void applyEvent(KvMessage.Event event) {
         if (event.deleted()) {
             delete(event.entry().key());
         } else {
@@ -83,8 +83,8 @@
     }
 
     private void put(KvEntry entry) {
-        Long known = revisions.get(entry.key());
-        if (known == null || entry.modRevision() > known) {
+        Long knownRevision = revisions.get(entry.key());
+        if (knownRevision == null || entry.modRevision() > knownRevision) {
             revisions.put(entry.key(), entry.modRevision());
             listener.put(entry);
         }
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvStatus.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvStatus.java
@@ -1,15 +1,15 @@
 package org.onyxhinge.wire.kv;
 
-/** Outcome of one key-value call. */
+/** The outcome of a key-value call. The wire format uses the ordinal. */
 public enum KvStatus {
-    /** Done. */
+    /** The call succeeded. */
     OK,
-    /** The compare-and-swap's expected version did not match. */
+    /** The expected version of the compare-and-swap did not match. */
     CONFLICT,
     /** The key or lease does not exist. */
     NOT_FOUND,
-    /** The service cannot take calls now. */
+    /** The service cannot serve calls at present. */
     UNAVAILABLE,
-    /** The service no longer has the history a watch needs; read the keys again. */
+    /** The history that a watch needs was compacted; the keys must be read again. */
     COMPACTED
 }
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/LeaseKeeper.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/LeaseKeeper.java
@@ -6,16 +6,16 @@
 import org.onyxhinge.wire.MonotonicClock;
 
 /**
- * Holds one key under a lease in the key-value service: grants the lease, writes the key, sends a
- * keep-alive every third of the time to live, and when the lease has lapsed (the service forgot it
- * during a pause or an outage) starts again with a new lease.
+ * A key bound to a lease that is renewed as long as this object is open: requests the lease, writes the
+ * key and sends a keep-alive every third of the time to live. If the lease has expired, for example
+ * during a pause or an outage, registers the key again under a new lease.
  *
  * <p>Runs on the key-value client's context.
  */
 public final class LeaseKeeper implements AutoCloseable {
 
     private static final Logger LOG = Logger.getLogger(LeaseKeeper.class);
-    private static final long FIRST_RETRY_MS = 50;
+    private static final long INITIAL_RETRY_MS = 50;
     private static final int KEEP_ALIVES_PER_TTL = 3;
 
     private final Vertx vertx;
@@ -26,7 +26,7 @@
     private long leaseId;
     private long validUntilMs;
     private boolean registering;
-    private long retryMs = FIRST_RETRY_MS;
+    private long retryMs = INITIAL_RETRY_MS;
     private long timerId = -1;
     private boolean closed;
 
@@ -38,20 +38,20 @@
         this.ttlMs = ttlMs;
     }
 
-    /** Starts holding {@code key} with {@code value}. */
+    /** Starts registering {@code key} with {@code value} and keeping its lease alive. */
     public static LeaseKeeper hold(Vertx vertx, KvStore kv, String key, byte[] value, long ttlMs) {
-        return new LeaseKeeper(vertx, kv, key, value, ttlMs).started();
+        return new LeaseKeeper(vertx, kv, key, value, ttlMs).start();
     }
 
-    private LeaseKeeper started() {
+    private LeaseKeeper start() {
         register();
-        timerId = vertx.setPeriodic(ttlMs / KEEP_ALIVES_PER_TTL, t -> beat());
+        timerId = vertx.setPeriodic(ttlMs / KEEP_ALIVES_PER_TTL, t -> sendKeepAlive());
         return this;
     }
 
     /**
-     * True while the lease is certain to be held: counted from before the call that last renewed it was
-     * sent, so a holder that was paused past its lease knows at once that it may have lapsed.
+     * True while the lease is certain to be valid. The time to live is counted from before the last renewal
+     * was sent, so a process that was paused for longer than that sees at once that it may have expired.
      */
     public boolean held() {
         return leaseId != 0 && MonotonicClock.nowMs() < validUntilMs;
@@ -68,12 +68,12 @@
                         .map(p -> registered(g.leaseId(), p, sentAtMs))
                         .onFailure(e -> kv.revoke(g.leaseId())))
                 .onComplete(r -> registering = false)
-                .onSuccess(p -> retryMs = FIRST_RETRY_MS)
-                .onFailure(e -> registerLater(e.getMessage()));
+                .onSuccess(p -> retryMs = INITIAL_RETRY_MS)
+                .onFailure(e -> scheduleRegistration(e.getMessage()));
     }
 
-    private void registerLater(String why) {
-        LOG.debugf("lease register failed key=%s retryMs=%d error=%s", key, retryMs, why);
+    private void scheduleRegistration(String error) {
+        LOG.debugf("lease registration failed key=%s retryMs=%d error=%s", key, retryMs, error);
         if (!closed) {
             vertx.setTimer(retryMs, t -> register());
             retryMs = Math.min(retryMs * 2, ttlMs / KEEP_ALIVES_PER_TTL);
@@ -83,32 +83,34 @@
     private KvMessage.Reply registered(long newLeaseId, KvMessage.Reply put, long sentAtMs) {
         leaseId = newLeaseId;
         validUntilMs = sentAtMs + ttlMs;
-        LOG.infof("lease held key=%s lease=%d revision=%d", key, leaseId, put.revision());
+        LOG.infof("lease acquired key=%s lease=%d revision=%d", key, leaseId, put.revision());
         return put;
     }
 
-    private void beat() {
+    private void sendKeepAlive() {
         if (leaseId == 0) {
             return;
         }
         long sentAtMs = MonotonicClock.nowMs();
-        long beating = leaseId;
-        kv.keepAlive(beating).onSuccess(r -> renewed(beating, sentAtMs)).onFailure(e -> {
-            if (beating == leaseId && e instanceof KvException k && k.status() == KvStatus.NOT_FOUND) {
-                LOG.warnf("lease lapsed key=%s lease=%d", key, leaseId);
-                leaseId = 0;
-                register();
-            }
-        });
+        long renewingLeaseId = leaseId;
+        kv.keepAlive(renewingLeaseId)
+                .onSuccess(r -> renewed(renewingLeaseId, sentAtMs))
+                .onFailure(e -> {
+                    if (renewingLeaseId == leaseId && e instanceof KvException k && k.status() == KvStatus.NOT_FOUND) {
+                        LOG.warnf("lease expired key=%s lease=%d", key, leaseId);
+                        leaseId = 0;
+                        register();
+                    }
+                });
     }
 
-    private void renewed(long beaten, long sentAtMs) {
-        if (beaten == leaseId) {
+    private void renewed(long renewedLeaseId, long sentAtMs) {
+        if (renewedLeaseId == leaseId) {
             validUntilMs = sentAtMs + ttlMs;
         }
     }
 
-    /** Ends the lease now, deleting the key, so peers see the holder leave at once. */
+    /** Revokes the lease, which deletes the key, so that peers see the owner leave without waiting for the expiry. */
     public Future<Void> release() {
         closed = true;
         vertx.cancelTimer(timerId);
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/package-info.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How onyxhinge processes talk to each other and to the key-value service: typed messages encoded
- * with MessagePack, carried in length-prefixed frames over TCP.
+ * Protocols between onyxhinge processes, and between them and the key-value service: typed messages
+ * encoded with MessagePack and sent in length-prefixed frames over TCP.
  */
 package org.onyxhinge.wire;
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerCodec.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerCodec.java
@@ -22,37 +22,37 @@
 
 /**
  * MessagePack codec for {@link PeerMessage}: an array whose first element is a type tag, then the
- * record's fields in declaration order. Unknown tags and malformed bodies raise {@link WireException}.
+ * record's fields in declaration order. Unknown tags and malformed bodies throw {@link WireException}.
  */
 public final class PeerCodec {
 
     private static final int HELLO = 1;
     private static final int LOAD = 2;
-    private static final int BYE = 3;
+    private static final int AGENT_LEAVING = 3;
     private static final int SUBSCRIBE = 4;
-    private static final int ROOM_REQUEST = 5;
-    private static final int YIELD = 6;
-    private static final int YIELDED = 7;
-    private static final int ROOM_REPLY = 8;
+    private static final int PREEMPTION_REQUEST = 5;
+    private static final int PREEMPT_COMMAND = 6;
+    private static final int PREEMPT_RESULT = 7;
+    private static final int PREEMPTION_REPLY = 8;
     private static final int ORDER_REQUEST = 9;
     private static final int ORDER_REPLY = 10;
     private static final int USAGE = 11;
     private static final int SLOT_RESERVED = 12;
-    private static final int SLOTS_WANTED = 13;
+    private static final int SLOT_DEMAND = 13;
     private static final int CRASHES = 14;
-    private static final int ANSWERED_WHOLE = 15;
+    private static final int SUSPECT_COMPLETED = 15;
     private static final int TARGET_LIMITS = 16;
     private static final int USAGE_FIELDS = 8;
-    /** Routers of the version before said nothing of rates. */
-    private static final int USAGE_FIELDS_BEFORE_RATES = 7;
+    /** Routers of the previous version send no rates. */
+    private static final int USAGE_FIELDS_WITHOUT_RATES = 7;
 
-    /** Rates are told to a hundredth of a call a second. */
-    private static final double HUNDREDTHS = 100;
+    /** Rates are encoded as integers, in hundredths of a call per second. */
+    private static final double RATE_SCALE = 100;
 
     private static final int MAX_PREFIXES = 4_096;
     private static final int MAX_CRASHES = 65_536;
     private static final int MAX_LIMITS = 16_384;
-    /** Far above the targets and workspaces of the planned size; a larger map is not one of ours. */
+    /** Far above the number of targets and workspaces that a site is planned for; a larger map is invalid. */
     private static final int MAX_USAGE_ENTRIES = 16_384;
 
     private PeerCodec() {}
@@ -71,36 +71,37 @@
         switch (message) {
             case PeerMessage.Hello h -> writeHello(p, h);
             case PeerMessage.Load l -> writeLoad(p, l);
-            case PeerMessage.Bye b -> head(p, BYE, 0);
-            case PeerMessage.Subscribe s -> head(p, SUBSCRIBE, 1).packString(s.routerId());
+            case PeerMessage.Bye b -> writeHeader(p, AGENT_LEAVING, 0);
+            case PeerMessage.Subscribe s -> writeHeader(p, SUBSCRIBE, 1).packString(s.routerId());
             case PeerMessage.RoomRequest r ->
-                head(p, ROOM_REQUEST, 2).packLong(r.askId()).packInt(r.rank());
-            case PeerMessage.Yield y -> head(p, YIELD, 2).packLong(y.turnId()).packInt(y.rank());
+                writeHeader(p, PREEMPTION_REQUEST, 2).packLong(r.askId()).packInt(r.rank());
+            case PeerMessage.Yield y ->
+                writeHeader(p, PREEMPT_COMMAND, 2).packLong(y.turnId()).packInt(y.rank());
             case PeerMessage.Yielded y ->
-                head(p, YIELDED, 2).packLong(y.turnId()).packBoolean(y.made());
+                writeHeader(p, PREEMPT_RESULT, 2).packLong(y.turnId()).packBoolean(y.made());
             case PeerMessage.RoomReply r ->
-                head(p, ROOM_REPLY, 2).packLong(r.askId()).packBoolean(r.made());
+                writeHeader(p, PREEMPTION_REPLY, 2).packLong(r.askId()).packBoolean(r.made());
             case PeerMessage.OrderRequest o ->
-                head(p, ORDER_REQUEST, 4)
+                writeHeader(p, ORDER_REQUEST, 4)
                         .packLong(o.orderId())
                         .packInt(o.order().kind().ordinal())
                         .packString(o.order().argument())
                         .packLong(o.order().fencingToken());
             case PeerMessage.Usage u -> writeUsage(p, u);
-            case PeerMessage.SlotReserved r -> head(p, SLOT_RESERVED, 1).packString(r.targetId());
+            case PeerMessage.SlotReserved r -> writeHeader(p, SLOT_RESERVED, 1).packString(r.targetId());
             case PeerMessage.SlotsWanted w -> {
-                head(p, SLOTS_WANTED, 3).packString(w.routerId()).packString(w.service());
+                writeHeader(p, SLOT_DEMAND, 3).packString(w.routerId()).packString(w.service());
                 writeCounts(p, w.waiting());
             }
             case PeerMessage.Crashes c -> writeCrashes(p, c);
             case PeerMessage.AnsweredWhole a -> {
-                head(p, ANSWERED_WHOLE, 3);
+                writeHeader(p, SUSPECT_COMPLETED, 3);
                 writeFingerprint(p, a.request());
                 p.packLong(a.agoMs());
             }
             case PeerMessage.TargetLimits l -> writeLimits(p, l);
             case PeerMessage.OrderReply o ->
-                head(p, ORDER_REPLY, 3)
+                writeHeader(p, ORDER_REPLY, 3)
                         .packLong(o.orderId())
                         .packInt(o.status().ordinal())
                         .packString(o.detail());
@@ -108,7 +109,10 @@
     }
 
     private static void writeUsage(MessagePacker p, PeerMessage.Usage u) throws IOException {
-        head(p, USAGE, USAGE_FIELDS).packString(u.routerId()).packLong(u.life()).packBoolean(u.whole());
+        writeHeader(p, USAGE, USAGE_FIELDS)
+                .packString(u.routerId())
+                .packLong(u.life())
+                .packBoolean(u.whole());
         p.packMapHeader(u.uses().size());
         for (Map.Entry<String, TargetUse> e : u.uses().entrySet()) {
             p.packString(e.getKey());
@@ -125,24 +129,24 @@
         }
         p.packMapHeader(u.rates().size());
         for (Map.Entry<String, ServiceRates> e : u.rates().entrySet()) {
-            p.packString(e.getKey()).packInt(hundredths(e.getValue().freed()));
+            p.packString(e.getKey()).packInt(encodeRate(e.getValue().freed()));
             Map<Integer, Integer> arrived = new HashMap<>();
-            e.getValue().arrivedByRank().forEach((rank, perSecond) -> arrived.put(rank, hundredths(perSecond)));
+            e.getValue().arrivedByRank().forEach((rank, perSecond) -> arrived.put(rank, encodeRate(perSecond)));
             writeCounts(p, arrived);
         }
     }
 
-    private static int hundredths(double perSecond) {
-        return (int) Math.round(perSecond * HUNDREDTHS);
+    private static int encodeRate(double perSecond) {
+        return (int) Math.round(perSecond * RATE_SCALE);
     }
 
     private static Map<String, ServiceRates> readRates(MessageUnpacker u) throws IOException {
         Map<String, ServiceRates> rates = new HashMap<>();
-        for (int left = entries(u); left > 0; left--) {
+        for (int remaining = readMapSize(u); remaining > 0; remaining--) {
             String service = u.unpackString();
-            double freed = u.unpackInt() / HUNDREDTHS;
+            double freed = u.unpackInt() / RATE_SCALE;
             Map<Integer, Double> arrived = new HashMap<>();
-            readCounts(u).forEach((rank, perSecond) -> arrived.put(rank, perSecond / HUNDREDTHS));
+            readCounts(u).forEach((rank, perSecond) -> arrived.put(rank, perSecond / RATE_SCALE));
             rates.put(service, new ServiceRates(freed, arrived));
         }
         return rates;
@@ -163,17 +167,17 @@
     }
 
     private static PeerMessage.Usage readUsage(MessageUnpacker u, int fields) throws IOException {
-        if (fields != USAGE_FIELDS_BEFORE_RATES) {
-            expect(u, fields, USAGE_FIELDS);
+        if (fields != USAGE_FIELDS_WITHOUT_RATES) {
+            requireFields(u, fields, USAGE_FIELDS);
         }
         String routerId = u.unpackString();
         long life = u.unpackLong();
         boolean whole = u.unpackBoolean();
         Map<String, TargetUse> uses = new HashMap<>();
-        for (int left = entries(u); left > 0; left--) {
+        for (int remaining = readMapSize(u); remaining > 0; remaining--) {
             String target = u.unpackString();
             if (u.unpackArrayHeader() != 2) {
-                throw new WireException("a use has two fields");
+                throw new WireException("target use must have 2 fields");
             }
             uses.put(target, new TargetUse(u.unpackInt(), u.unpackLong()));
         }
@@ -186,7 +190,7 @@
 
     private static Map<String, Map<Integer, Integer>> readWaiting(MessageUnpacker u) throws IOException {
         Map<String, Map<Integer, Integer>> waiting = new HashMap<>();
-        for (int left = entries(u); left > 0; left--) {
+        for (int remaining = readMapSize(u); remaining > 0; remaining--) {
             waiting.put(u.unpackString(), readCounts(u));
         }
         return waiting;
@@ -194,7 +198,7 @@
 
     private static Map<Integer, Integer> readCounts(MessageUnpacker u) throws IOException {
         Map<Integer, Integer> byPrecedence = new HashMap<>();
-        for (int left = entries(u); left > 0; left--) {
+        for (int remaining = readMapSize(u); remaining > 0; remaining--) {
             byPrecedence.put(u.unpackInt(), u.unpackInt());
         }
         return byPrecedence;
@@ -202,25 +206,25 @@
 
     private static Map<String, Long> readUnits(MessageUnpacker u) throws IOException {
         Map<String, Long> units = new HashMap<>();
-        for (int left = entries(u); left > 0; left--) {
+        for (int remaining = readMapSize(u); remaining > 0; remaining--) {
             units.put(u.unpackString(), u.unpackLong());
         }
         return units;
     }
 
-    private static int entries(MessageUnpacker u) throws IOException {
+    private static int readMapSize(MessageUnpacker u) throws IOException {
         int n = u.unpackMapHeader();
         if (n > MAX_USAGE_ENTRIES) {
-            throw new WireException("too many entries: " + n);
+            throw new WireException("too many map entries: " + n);
         }
         return n;
     }
 
-    private static MessagePacker head(MessagePacker p, int tag, int fields) throws IOException {
+    private static MessagePacker writeHeader(MessagePacker p, int tag, int fields) throws IOException {
         return p.packArrayHeader(fields + 1).packInt(tag);
     }
 
-    /** Decodes a frame body; throws {@link WireException} when it is not a peer message. */
+    /** Decodes a frame body; throws {@link WireException} if it is not a valid peer message. */
     public static PeerMessage decode(byte[] body) {
         try (MessageUnpacker u = MessagePack.newDefaultUnpacker(body)) {
             int fields = u.unpackArrayHeader() - 1;
@@ -234,32 +238,38 @@
         return switch (tag) {
             case HELLO -> readHello(u, fields);
             case LOAD -> readLoad(u, fields);
-            case BYE -> {
-                expect(u, fields, 0);
+            case AGENT_LEAVING -> {
+                requireFields(u, fields, 0);
                 yield new PeerMessage.Bye();
             }
-            case SUBSCRIBE -> new PeerMessage.Subscribe(expect(u, fields, 1).unpackString());
-            case ROOM_REQUEST ->
-                new PeerMessage.RoomRequest(expect(u, fields, 2).unpackLong(), u.unpackInt());
-            case YIELD -> new PeerMessage.Yield(expect(u, fields, 2).unpackLong(), u.unpackInt());
-            case YIELDED -> new PeerMessage.Yielded(expect(u, fields, 2).unpackLong(), u.unpackBoolean());
-            case ROOM_REPLY -> new PeerMessage.RoomReply(expect(u, fields, 2).unpackLong(), u.unpackBoolean());
+            case SUBSCRIBE ->
+                new PeerMessage.Subscribe(requireFields(u, fields, 1).unpackString());
+            case PREEMPTION_REQUEST ->
+                new PeerMessage.RoomRequest(requireFields(u, fields, 2).unpackLong(), u.unpackInt());
+            case PREEMPT_COMMAND ->
+                new PeerMessage.Yield(requireFields(u, fields, 2).unpackLong(), u.unpackInt());
+            case PREEMPT_RESULT ->
+                new PeerMessage.Yielded(requireFields(u, fields, 2).unpackLong(), u.unpackBoolean());
+            case PREEMPTION_REPLY ->
+                new PeerMessage.RoomReply(requireFields(u, fields, 2).unpackLong(), u.unpackBoolean());
             case ORDER_REQUEST ->
                 new PeerMessage.OrderRequest(
-                        expect(u, fields, 4).unpackLong(),
-                        new Order(constant(OrderKind.values(), u.unpackInt()), u.unpackString(), u.unpackLong()));
+                        requireFields(u, fields, 4).unpackLong(),
+                        new Order(enumValue(OrderKind.values(), u.unpackInt()), u.unpackString(), u.unpackLong()));
             case USAGE -> readUsage(u, fields);
             case SLOT_RESERVED ->
-                new PeerMessage.SlotReserved(expect(u, fields, 1).unpackString());
-            case SLOTS_WANTED ->
-                new PeerMessage.SlotsWanted(expect(u, fields, 3).unpackString(), u.unpackString(), readCounts(u));
+                new PeerMessage.SlotReserved(requireFields(u, fields, 1).unpackString());
+            case SLOT_DEMAND ->
+                new PeerMessage.SlotsWanted(
+                        requireFields(u, fields, 3).unpackString(), u.unpackString(), readCounts(u));
             case CRASHES -> readCrashes(u, fields);
-            case ANSWERED_WHOLE -> new PeerMessage.AnsweredWhole(readFingerprint(expect(u, fields, 3)), u.unpackLong());
+            case SUSPECT_COMPLETED ->
+                new PeerMessage.AnsweredWhole(readFingerprint(requireFields(u, fields, 3)), u.unpackLong());
             case TARGET_LIMITS -> readLimits(u, fields);
             case ORDER_REPLY ->
                 new PeerMessage.OrderReply(
-                        expect(u, fields, 3).unpackLong(),
-                        constant(OrderStatus.values(), u.unpackInt()),
+                        requireFields(u, fields, 3).unpackLong(),
+                        enumValue(OrderStatus.values(), u.unpackInt()),
                         u.unpackString());
             default -> throw new WireException("unknown peer message tag " + tag);
         };
@@ -267,13 +277,13 @@
 
     private static void writeHello(MessagePacker p, PeerMessage.Hello h) throws IOException {
         EngineInfo e = h.engine();
-        head(p, HELLO, 9).packString(h.agentId()).packString(e.engineId());
+        writeHeader(p, HELLO, 9).packString(h.agentId()).packString(e.engineId());
         p.packString(e.pool()).packString(e.host()).packInt(e.port()).packInt(e.maxBatch());
         p.packInt(e.prefillTokensPerSecond()).packInt(e.decodeTokensPerSecond()).packBoolean(e.checksFencing());
     }
 
     private static PeerMessage.Hello readHello(MessageUnpacker u, int fields) throws IOException {
-        String agentId = expect(u, fields, 9).unpackString();
+        String agentId = requireFields(u, fields, 9).unpackString();
         EngineInfo e = new EngineInfo(
                 u.unpackString(),
                 u.unpackString(),
@@ -287,7 +297,7 @@
     }
 
     private static void writeLoad(MessagePacker p, PeerMessage.Load l) throws IOException {
-        head(p, LOAD, 4).packInt(l.running()).packInt(l.waiting());
+        writeHeader(p, LOAD, 4).packInt(l.running()).packInt(l.waiting());
         p.packArrayHeader(l.cachedPrefixes().size());
         for (long hash : l.cachedPrefixes()) {
             p.packLong(hash);
@@ -296,11 +306,11 @@
     }
 
     private static PeerMessage.Load readLoad(MessageUnpacker u, int fields) throws IOException {
-        int running = expect(u, fields, 4).unpackInt();
+        int running = requireFields(u, fields, 4).unpackInt();
         int waiting = u.unpackInt();
         int n = u.unpackArrayHeader();
         if (n > MAX_PREFIXES) {
-            throw new WireException("load report carries " + n + " prefixes, more than " + MAX_PREFIXES);
+            throw new WireException("load report has " + n + " prefixes, limit " + MAX_PREFIXES);
         }
         List<Long> prefixes = new ArrayList<>(n);
         for (int i = 0; i < n; i++) {
@@ -310,7 +320,7 @@
     }
 
     private static void writeCrashes(MessagePacker p, PeerMessage.Crashes c) throws IOException {
-        head(p, CRASHES, 1).packArrayHeader(c.crashes().size());
+        writeHeader(p, CRASHES, 1).packArrayHeader(c.crashes().size());
         for (PeerMessage.CrashedAgo crash : c.crashes()) {
             writeFingerprint(p, crash.request());
             p.packString(crash.incarnation()).packLong(crash.agoMs());
@@ -318,9 +328,9 @@
     }
 
     private static PeerMessage.Crashes readCrashes(MessageUnpacker u, int fields) throws IOException {
-        int n = expect(u, fields, 1).unpackArrayHeader();
+        int n = requireFields(u, fields, 1).unpackArrayHeader();
         if (n > MAX_CRASHES) {
-            throw new WireException("too many crashes: " + n);
+            throw new WireException("too many crash entries: " + n);
         }
         List<PeerMessage.CrashedAgo> crashes = new ArrayList<>();
         for (int i = 0; i < n; i++) {
@@ -330,7 +340,7 @@
     }
 
     private static void writeLimits(MessagePacker p, PeerMessage.TargetLimits l) throws IOException {
-        head(p, TARGET_LIMITS, 1).packArrayHeader(l.limits().size());
+        writeHeader(p, TARGET_LIMITS, 1).packArrayHeader(l.limits().size());
         for (PeerMessage.LimitedAgo limit : l.limits()) {
             p.packString(limit.incarnation()).packBoolean(limit.named());
             p.packDouble(limit.perSecond()).packLong(limit.agoMs());
@@ -338,9 +348,9 @@
     }
 
     private static PeerMessage.TargetLimits readLimits(MessageUnpacker u, int fields) throws IOException {
-        int n = expect(u, fields, 1).unpackArrayHeader();
+        int n = requireFields(u, fields, 1).unpackArrayHeader();
         if (n > MAX_LIMITS) {
-            throw new WireException("too many limits: " + n);
+            throw new WireException("too many target limit entries: " + n);
         }
         List<PeerMessage.LimitedAgo> limits = new ArrayList<>();
         for (int i = 0; i < n; i++) {
@@ -358,16 +368,16 @@
         return new RequestFingerprint(u.unpackLong(), u.unpackLong());
     }
 
-    private static <T> T constant(T[] all, int ordinal) {
+    private static <T> T enumValue(T[] all, int ordinal) {
         if (ordinal < 0 || ordinal >= all.length) {
-            throw new WireException("no constant " + ordinal + " among " + all.length);
+            throw new WireException("enum ordinal " + ordinal + " out of range, number of values: " + all.length);
         }
         return all[ordinal];
     }
 
-    private static MessageUnpacker expect(MessageUnpacker u, int fields, int wanted) {
-        if (fields != wanted) {
-            throw new WireException("peer message has " + fields + " fields, expected " + wanted);
+    private static MessageUnpacker requireFields(MessageUnpacker u, int fields, int expected) {
+        if (fields != expected) {
+            throw new WireException("peer message has " + fields + " fields, expected " + expected);
         }
         return u;
     }
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerConnection.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerConnection.java
@@ -9,9 +9,9 @@
 import org.onyxhinge.wire.frame.WireException;
 
 /**
- * One TCP connection between a router and an agent or another router, either end. A frame that cannot be decoded closes
- * this connection only. A peer that reads too slowly loses messages rather than filling memory: load
- * reports are only ever a hint, and every question has a time limit.
+ * Either end of a TCP connection between a router and an agent or another router. A frame that cannot be decoded
+ * closes only this connection. If the peer reads too slowly, messages are dropped to bound memory; this is safe
+ * because load reports are only hints and every request has a timeout.
  */
 public final class PeerConnection implements AutoCloseable {
 
@@ -27,19 +27,19 @@
         this.received = received;
     }
 
-    /** Takes over a socket; {@code received} and {@code closed} run on its context. */
+    /** Wraps a socket and installs its handlers; {@code received} and {@code closed} run on its context. */
     public static PeerConnection attach(
             NetSocket socket, PeerTraffic traffic, Consumer<PeerMessage> received, Runnable closed) {
         PeerConnection c = new PeerConnection(socket, traffic, received);
-        socket.handler(FrameReader.create(c::frame, c::reject));
+        socket.handler(FrameReader.create(c::handleFrame, c::reject));
         socket.closeHandler(v -> closed.run());
         return c;
     }
 
     /**
-     * Sends a message, or drops it while the peer does not keep up.
+     * Sends a message, or drops it if the write queue is full.
      *
-     * @return false when it was dropped
+     * @return false if the message was dropped
      */
     public boolean send(PeerMessage message) {
         if (socket.writeQueueFull()) {
@@ -56,7 +56,7 @@
         socket.close();
     }
 
-    private void frame(Buffer body) {
+    private void handleFrame(Buffer body) {
         traffic.received(body.length() + FrameReader.HEADER_BYTES);
         PeerMessage message;
         try {
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerMessage.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerMessage.java
@@ -12,67 +12,68 @@
 import org.onyxhinge.core.schedule.LoadReport;
 
 /**
- * What routers and agents, and routers among themselves, send each other. A router connects to an agent,
- * subscribes, and from then on both may send at any time. Such a connection is about the one engine
- * beside its agent, so only the hello names it. Between routers, each sends on the connection it made.
+ * Messages between routers and agents and among routers. A router connects to an agent and subscribes; after that
+ * both may send at any time. Such a connection concerns only the agent's own engine, so the engine is identified
+ * only in the agent's first message. Each router sends to other routers on the connections that it opened itself.
  */
 public sealed interface PeerMessage {
 
-    /** What a router sends an agent. */
+    /** A message from a router to an agent. */
     sealed interface ToAgent extends PeerMessage {}
 
-    /** What routers send each other. */
+    /** A message from a router to another router. */
     sealed interface BetweenRouters extends PeerMessage {}
 
-    /** What an agent sends a router. */
+    /** A message from an agent to a router. */
     sealed interface ToRouter extends PeerMessage {}
 
     /**
-     * The router's first message on a connection.
+     * The first message that a router sends to an agent on a connection.
      *
      * @param routerId the router
      */
     record Subscribe(String routerId) implements ToAgent {}
 
     /**
-     * The router would have to refuse a request; asks for another router's lower-tier work to be stopped.
+     * Asks the agent to have another router preempt a lower-tier request. Sent when the sender would otherwise have
+     * to refuse a request of its own.
      *
-     * @param askId id the answer carries
-     * @param rank rank of the request's tier
+     * @param askId id that the reply repeats
+     * @param rank tier rank of the sender's request
      */
     record RoomRequest(long askId, int rank) implements ToAgent {}
 
     /**
-     * The router's answer to {@link Yield}.
+     * The router's reply to a preemption command.
      *
-     * @param turnId the turn's id
-     * @param made true when it stopped a request
+     * @param turnId id of the command
+     * @param made true if the router preempted a request
      */
     record Yielded(long turnId, boolean made) implements ToAgent {}
 
     /**
-     * An order for the target.
+     * An order to be executed by the target.
      *
-     * @param orderId id the answer carries
+     * @param orderId id that the reply repeats
      * @param order the order with its fencing token
      */
     record OrderRequest(long orderId, Order order) implements ToAgent {}
 
     /**
-     * The agent's first message on a connection, sent again when the target's capacity changes.
+     * The first message that an agent sends on a connection; sent again when the target's capacity changes.
      *
      * @param agentId the agent
-     * @param engine the engine beside it
+     * @param engine the agent's engine
      */
     record Hello(String agentId, EngineInfo engine) implements ToRouter {}
 
     /**
-     * A load report; sent every report interval and at once when draining starts.
+     * A load report, sent every report interval and immediately when draining starts.
      *
-     * @param running sequences running on it
-     * @param waiting sequences in its own queue
-     * @param cachedPrefixes prefix hashes cached since the last report
-     * @param draining true once the target is leaving
+     * @param running sequences running on the engine
+     * @param waiting sequences in the engine's own queue
+     * @param cachedPrefixes hashes of the prefixes cached since the last report
+     * @param draining true if the target is shutting down
      */
     record Load(int running, int waiting, List<Long> cachedPrefixes, boolean draining) implements ToRouter {
 
@@ -81,53 +82,54 @@
             cachedPrefixes = List.copyOf(cachedPrefixes);
         }
 
-        /** The core's view of this report from the agent of {@code engineId}. */
+        /** Converts to the core's load report for the engine {@code engineId}. */
         public LoadReport toReport(String engineId) {
             return new LoadReport(engineId, running, waiting, cachedPrefixes, draining);
         }
     }
 
-    /** The agent is going away on purpose; its engine takes no new work. */
+    /** The agent is shutting down as planned; its engine accepts no new requests. */
     record Bye() implements ToRouter {}
 
     /**
-     * Another router needs room: stop one request on the engine of a tier below {@code rank}, if any.
+     * Tells the router to preempt one of its requests on the engine, of a tier below {@code rank}, if it has one.
+     * Sent because another router needs the slot.
      *
-     * @param turnId id the answer carries
-     * @param rank only tiers of a higher rank number may be stopped
+     * @param turnId id that the reply repeats
+     * @param rank only requests of tiers with a higher rank number may be preempted
      */
     record Yield(long turnId, int rank) implements ToRouter {}
 
     /**
-     * The answer to {@link RoomRequest}.
+     * The agent's reply to a preemption request.
      *
-     * @param askId the request's id
-     * @param made true when another router stopped a request
+     * @param askId id of the request
+     * @param made true if another router preempted a request
      */
     record RoomReply(long askId, boolean made) implements ToRouter {}
 
     /**
-     * The answer to {@link OrderRequest}.
+     * The reply to {@link OrderRequest}.
      *
-     * @param orderId the order's id
-     * @param status what became of it
-     * @param detail why, for operators
+     * @param orderId id of the order
+     * @param status result of the order
+     * @param detail reason, for operators
      */
     record OrderReply(long orderId, OrderStatus status, String detail) implements ToRouter {}
 
     /**
-     * What a router has running and has let through, in place of what it said before. A whole one comes
-     * first on a connection; the others hold only what has changed since the one before.
+     * A router's current calls and quota usage. The first message on a connection is a full update; later ones are
+     * incremental and contain only the entries that changed since the previous one.
      *
-     * @param routerId the router
-     * @param life a number that differs at each start of it
-     * @param whole false when only changes are listed
-     * @param uses calls on targets, by target; one without calls clears the entry
-     * @param totals units let through since its start, by workspace
-     * @param windows units that it knows all routers let through in the quota window, by workspace; only
-     *     in a whole one
-     * @param waiting how many calls wait for a target there now, by service and precedence; always all of them
-     * @param rates what it sees of each service's calls in a second; always all of them
+     * @param routerId the sending router
+     * @param life random number that identifies the current start of the router process
+     * @param whole true for a full update, false for an incremental one
+     * @param uses calls in progress, by target; an entry without calls removes the previous entry
+     * @param totals quota units admitted since the start of the router, by workspace
+     * @param windows quota units that all routers together admitted in the current quota window, as far as the sender
+     *     knows, by workspace; only in a full update
+     * @param waiting number of calls queued at the sender, by service and precedence; complete in every update
+     * @param rates call rates per second that the sender observes, by service; complete in every update
      */
     record Usage(
             String routerId,
@@ -151,18 +153,18 @@
     }
 
     /**
-     * A router reserves a free slot at a target for the router this is sent to, whose waiting calls are more urgent.
+     * The sender reserves a free slot of a target for the receiver, whose queued calls are more urgent.
      *
      * @param targetId the target
      */
     record SlotReserved(String targetId) implements BetweenRouters {}
 
     /**
-     * Calls wait at a router whose group has no slot for them; slots of another group are asked for.
+     * Requests slots from another group of routers, because the sender's own group has no free slot for its calls.
      *
-     * @param routerId the router
-     * @param service the service they want a target of
-     * @param waiting how many wait, by precedence
+     * @param routerId the sending router
+     * @param service the service of the queued calls
+     * @param waiting number of queued calls, by precedence
      */
     record SlotsWanted(String routerId, String service, Map<Integer, Integer> waiting) implements BetweenRouters {
 
@@ -173,9 +175,9 @@
     }
 
     /**
-     * Targets that ended while they ran requests.
+     * Requests that were running on targets when those targets crashed.
      *
-     * @param crashes each request that ran on one
+     * @param crashes one entry for each such request
      */
     record Crashes(List<CrashedAgo> crashes) implements BetweenRouters {
 
@@ -186,26 +188,26 @@
     }
 
     /**
-     * One request that ran on a target when it ended.
+     * A request that was running on a target when the target crashed.
      *
-     * @param request the request
-     * @param incarnation the start of the target that ended
-     * @param agoMs how long ago; routers' clocks differ
+     * @param request fingerprint of the request
+     * @param incarnation incarnation of the target that crashed
+     * @param agoMs time since the crash; a relative time, because the clocks of routers differ
      */
     record CrashedAgo(RequestFingerprint request, String incarnation, long agoMs) {}
 
     /**
-     * A target answered a request whole that was a suspect in crashes.
+     * A request suspected of crashing targets was completed by a target.
      *
-     * @param request the request
-     * @param agoMs how long ago
+     * @param request fingerprint of the request
+     * @param agoMs time since its completion
      */
     record AnsweredWhole(RequestFingerprint request, long agoMs) implements BetweenRouters {}
 
     /**
-     * Rate limits that targets have named, or have ceased to name.
+     * Changes of the rate limits that targets advertise in their responses.
      *
-     * @param limits each change, or all of them
+     * @param limits the changes, or all current limits
      */
     record TargetLimits(List<LimitedAgo> limits) implements BetweenRouters {
 
@@ -216,12 +218,13 @@
     }
 
     /**
-     * What a target's answer said of its rate limit.
+     * The rate limit that a response of a target advertised, or its absence.
      *
-     * @param incarnation the start of the target
-     * @param named false when it named none
-     * @param perSecond requests a second that it takes from all routers together; 0 when it named none
-     * @param agoMs how long ago it named one, or the call was sent whose answer named none; routers' clocks differ
+     * @param incarnation incarnation of the target
+     * @param named false if the response advertised no limit
+     * @param perSecond requests per second that the target accepts from all routers together; 0 if not advertised
+     * @param agoMs time since the limit was advertised or, without one, since the call with that response was sent;
+     *     a relative time, because the clocks of routers differ
      */
     record LimitedAgo(String incarnation, boolean named, double perSecond, long agoMs) {}
 }
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerTraffic.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerTraffic.java
@@ -1,6 +1,6 @@
 package org.onyxhinge.wire.peer;
 
-/** Frames and bytes one process has sent and received on its peer connections; one thread owns it. */
+/** Counts of frames and bytes sent and received on the peer connections of a process. Confined to one thread. */
 public final class PeerTraffic {
 
     private long framesIn;
@@ -23,7 +23,7 @@
         return framesIn;
     }
 
-    /** Bytes received, frame headers included. */
+    /** Bytes received, including frame headers. */
     public long bytesIn() {
         return bytesIn;
     }
@@ -33,7 +33,7 @@
         return framesOut;
     }
 
-    /** Bytes sent, frame headers included. */
+    /** Bytes sent, including frame headers. */
     public long bytesOut() {
         return bytesOut;
     }
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/package-info.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between agents and routers, and their MessagePack codec. */
+/** Messages between routers and agents and among routers, their MessagePack codec and their connections. */
 package org.onyxhinge.wire.peer;
--- a/onyxhinge-wire/src/test/java/org/onyxhinge/wire/DecoderProperties.java
+++ b/onyxhinge-wire/src/test/java/org/onyxhinge/wire/DecoderProperties.java
@@ -24,31 +24,31 @@
 import static org.hamcrest.Matchers.equalTo;
 
 /**
- * Fuzzing of the decoders that read bytes from the network: any byte string either decodes or raises
- * {@link WireException}, never another exception; and what is encoded decodes to the same message.
+ * Fuzz tests of the decoders for network input: any byte string either decodes or throws {@link WireException}, never
+ * another exception, and an encoded message decodes to an equal one.
  */
 class DecoderProperties {
 
     @Property(tries = 3_000, seed = "7")
-    void peerDecoderRejectsGarbageWithItsOwnError(@ForAll @Size(max = 200) byte[] bytes) {
+    void peerDecoderThrowsOnlyWireException(@ForAll @Size(max = 200) byte[] bytes) {
         try {
             PeerCodec.decode(bytes);
         } catch (WireException expected) {
-            // the only failure allowed
+            // the only exception allowed
         }
     }
 
     @Property(tries = 3_000, seed = "8")
-    void kvDecoderRejectsGarbageWithItsOwnError(@ForAll @Size(max = 200) byte[] bytes) {
+    void kvDecoderThrowsOnlyWireException(@ForAll @Size(max = 200) byte[] bytes) {
         try {
             KvCodec.decode(bytes);
         } catch (WireException expected) {
-            // the only failure allowed
+            // the only exception allowed
         }
     }
 
     @Property(tries = 500, seed = "9")
-    void peerMessagesSurviveTheRoundTrip(
+    void loadAndHelloRoundTrip(
             @ForAll int running, @ForAll int waiting, @ForAll List<Long> prefixes, @ForAll boolean draining) {
         PeerMessage.Load load =
                 new PeerMessage.Load(running, waiting, prefixes.subList(0, Math.min(prefixes.size(), 50)), draining);
@@ -59,7 +59,7 @@
     }
 
     @Property(tries = 500, seed = "12")
-    void questionsOrdersAndAnswersSurviveTheRoundTrip(
+    void preemptionAndOrderMessagesRoundTrip(
             @ForAll long id,
             @ForAll int rank,
             @ForAll boolean made,
@@ -79,7 +79,7 @@
     }
 
     @Property(tries = 300, seed = "14")
-    void whatRoutersTellEachOtherSurvivesTheRoundTrip(
+    void routerToRouterMessagesRoundTrip(
             @ForAll @Size(max = 20) Map<String, Long> units, @ForAll long life, @ForAll boolean whole) {
         Map<String, TargetUse> uses = Map.of("w1", new TargetUse(3, life), "w2", new TargetUse(0, 0));
         Map<String, Map<Integer, Integer>> waiting = Map.of("writers", Map.of(0, 3, 1_002, 40), "mailroom", Map.of());
@@ -109,10 +109,10 @@
                 new PeerMessage.CrashedAgo(request, "w1@7", 90), new PeerMessage.CrashedAgo(request, "w2", number)));
     }
 
-    /** Damages one byte of a valid message: closer to the decoder's inner branches than random bytes. */
+    /** Corrupts one byte of a valid message, which reaches more of the decoder than random bytes do. */
     @Property(tries = 3_000, seed = "13")
-    void aDamagedMessageRaisesOnlyTheDecodersOwnError(
-            @ForAll @IntRange(max = 100) int at, @ForAll byte damage, @ForAll OrderKind kind) {
+    void corruptedMessageThrowsOnlyWireException(
+            @ForAll @IntRange(max = 100) int position, @ForAll byte corruptByte, @ForAll OrderKind kind) {
         byte[] order = PeerCodec.encode(new PeerMessage.OrderRequest(7, new Order(kind, "model-v2", 12)));
         byte[] put = KvCodec.encode(new KvMessage.Put(7, "config/tier/gold", new byte[] {1, 2}, 3, 4));
         byte[] usage = PeerCodec.encode(new PeerMessage.Usage(
@@ -125,21 +125,21 @@
                 Map.of("writers", Map.of(1, 4)),
                 Map.of("writers", new ServiceRates(2, Map.of(1, 3.5)))));
         byte[] crashes = PeerCodec.encode(crashes(7));
-        crashes[at % crashes.length] = damage;
-        peerDecoderRejectsGarbageWithItsOwnError(crashes);
+        crashes[position % crashes.length] = corruptByte;
+        peerDecoderThrowsOnlyWireException(crashes);
         byte[] limits = PeerCodec.encode(limits(7));
-        limits[at % limits.length] = damage;
-        peerDecoderRejectsGarbageWithItsOwnError(limits);
-        order[at % order.length] = damage;
-        usage[at % usage.length] = damage;
-        peerDecoderRejectsGarbageWithItsOwnError(usage);
-        put[at % put.length] = damage;
-        peerDecoderRejectsGarbageWithItsOwnError(order);
-        kvDecoderRejectsGarbageWithItsOwnError(put);
+        limits[position % limits.length] = corruptByte;
+        peerDecoderThrowsOnlyWireException(limits);
+        order[position % order.length] = corruptByte;
+        usage[position % usage.length] = corruptByte;
+        peerDecoderThrowsOnlyWireException(usage);
+        put[position % put.length] = corruptByte;
+        peerDecoderThrowsOnlyWireException(order);
+        kvDecoderThrowsOnlyWireException(put);
     }
 
     @Property(tries = 500, seed = "10")
-    void kvCallsSurviveTheRoundTrip(@ForAll long callId, @ForAll String key, @ForAll long version) {
+    void kvCallsRoundTrip(@ForAll long callId, @ForAll String key, @ForAll long version) {
         KvMessage.Watch watch = new KvMessage.Watch(callId, key, version);
         assertThat(KvCodec.decode(KvCodec.encode(watch)), equalTo(watch));
         KvMessage.Delete delete = new KvMessage.Delete(callId, key, version);
