--- a/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/HostPort.java
+++ b/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/HostPort.java
@@ -1,16 +1,16 @@
 package org.onyxhinge.runtime;
 
 /**
- * An address.
+ * A network address.
  *
  * @param host IP address
- * @param port port
+ * @param port TCP port
  */
 public record HostPort(String host, int port) {
 
     private static final int MAX_PORT = 65_535;
 
-    /** Reads {@code IP:PORT}; throws {@link IllegalArgumentException} naming {@code what} it is. */
+    /** Parses {@code IP:PORT}; throws {@link IllegalArgumentException} that names {@code what} was parsed. */
     public static HostPort parse(String what, String text) {
         int colon = text == null ? -1 : text.lastIndexOf(':');
         if (colon < 1) {
@@ -22,7 +22,7 @@
                 return new HostPort(text.substring(0, colon), port);
             }
         } catch (NumberFormatException e) {
-            // Falls through to the message below, which shows the whole text.
+            // Reported below with the complete text.
         }
         throw new IllegalArgumentException(what + ": bad port in '" + text + "'");
     }
--- a/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/Latency.java
+++ b/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/Latency.java
@@ -5,34 +5,34 @@
 import org.HdrHistogram.Recorder;
 
 /**
- * A latency distribution in microseconds, recorded with HdrHistogram's {@link Recorder} so writers on
- * traffic threads never block the reader. Values up to one hour, three significant digits.
+ * A latency histogram in microseconds. It uses HdrHistogram's {@link Recorder}, so that recording on the
+ * traffic threads is not blocked by the reader. Values up to one hour, three significant digits.
  */
 public final class Latency {
 
-    private static final long HIGHEST_US = 3_600_000_000L;
-    private static final int DIGITS = 3;
+    private static final long MAX_VALUE_US = 3_600_000_000L;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
-    private final Recorder recorder = new Recorder(HIGHEST_US, DIGITS);
-    private final Histogram total = new Histogram(HIGHEST_US, DIGITS);
+    private final Recorder recorder = new Recorder(MAX_VALUE_US, SIGNIFICANT_DIGITS);
+    private final Histogram total = new Histogram(MAX_VALUE_US, SIGNIFICANT_DIGITS);
 
-    /** Creates an empty distribution. */
+    /** Creates an empty histogram. */
     public static Latency create() {
         return new Latency();
     }
 
-    /** Records one value in microseconds; values out of range are clamped. */
+    /** Records a value in microseconds, clamped to the supported range. */
     public void recordUs(long us) {
-        recorder.recordValue(Math.max(0, Math.min(HIGHEST_US, us)));
+        recorder.recordValue(Math.max(0, Math.min(MAX_VALUE_US, us)));
     }
 
-    /** Everything recorded so far. Safe from one reader thread at a time. */
+    /** A copy of all values recorded so far. Calls are serialized, so that only one thread reads at a time. */
     public synchronized Histogram snapshot() {
         total.add(recorder.getIntervalHistogram());
         return total.copy();
     }
 
-    /** Count and p50/p95/p99/max in milliseconds, for dumps and reports. */
+    /** Count and p50, p95, p99 and maximum in milliseconds, for state dumps and reports. */
     public JsonObject summary() {
         Histogram h = snapshot();
         return new JsonObject()
--- a/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/Launch.java
+++ b/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/Launch.java
@@ -9,35 +9,35 @@
 import io.vertx.core.Future;
 
 /**
- * Helpers for the binaries' {@code main}: exit codes, waiting on a future from the main thread, and
- * running a node until the process is asked to stop, with a planned stop on SIGTERM or SIGINT.
+ * Helpers for {@code main} methods: exit codes, waiting for a future on the main thread, and running a
+ * node until SIGTERM or SIGINT, with an orderly shutdown.
  */
 public final class Launch {
 
     /** Exit code for a command line that cannot be parsed. */
     public static final int EXIT_USAGE = 2;
-    /** Exit code for settings that cannot be used. */
+    /** Exit code for invalid settings. */
     public static final int EXIT_SETTINGS = 3;
-    /** Exit code for a failure while running. */
+    /** Exit code for a failure at run time. */
     public static final int EXIT_FAILURE = 4;
 
     private Launch() {}
 
-    /** Waits for a future from a thread that is not an event loop; throws its failure unchecked. */
+    /** Blocks until a future completes; not for event-loop threads. A failure is thrown as an unchecked exception. */
     public static <T> T await(Future<T> future, long timeoutMs) {
         try {
             return future.toCompletionStage().toCompletableFuture().get(timeoutMs, TimeUnit.MILLISECONDS);
         } catch (ExecutionException e) {
             throw new IllegalStateException(e.getCause().getMessage(), e.getCause());
         } catch (TimeoutException e) {
-            throw new IllegalStateException("no answer within " + timeoutMs + " ms", e);
+            throw new IllegalStateException("timed out after " + timeoutMs + " ms", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException("interrupted", e);
         }
     }
 
-    /** Blocks until the JVM is asked to stop; then runs {@code stop} and waits for it. */
+    /** Blocks until JVM shutdown starts; a shutdown hook then runs {@code stop} and waits for its completion. */
     public static void runUntilStopped(Supplier<Future<Void>> stop, long stopTimeoutMs) {
         CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime()
--- a/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/LogRateLimiter.java
+++ b/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/LogRateLimiter.java
@@ -9,10 +9,10 @@
 import org.jboss.logmanager.ExtLogRecord;
 
 /**
- * Bounds how many lines a process writes: a token bucket, warnings and errors always pass. What is left out is
- * counted, and the count is written once lines pass again.
+ * Limits the rate of log lines with a token bucket; warnings and errors always pass. Dropped lines are counted, and
+ * the count is logged before the next line that passes.
  */
-final class LogLimit extends ExtHandler {
+final class LogRateLimiter extends ExtHandler {
 
     private static final double MS_PER_SECOND = 1_000;
 
@@ -22,51 +22,54 @@
     private final double burst;
     private final AtomicLong dropped = new AtomicLong();
     private double tokens;
-    private long filledAtMs;
-    private long untold;
+    private long refilledAtMs;
+    private long unreported;
 
     /**
-     * Creates a limit.
+     * Creates a rate limiter in front of a handler.
      *
-     * @param linesPerSecond lines that may be written in the long run
-     * @param burst lines that may be written at once beside them
+     * @param next handler that receives the lines that pass
+     * @param linesPerSecond sustained rate
+     * @param burst capacity of the token bucket, in lines
+     * @param clockMs monotonic clock in milliseconds
      */
-    LogLimit(Handler next, double linesPerSecond, double burst, LongSupplier clockMs) {
+    LogRateLimiter(Handler next, double linesPerSecond, double burst, LongSupplier clockMs) {
         this.next = next;
         this.linesPerSecond = linesPerSecond;
         this.burst = burst;
         this.clockMs = clockMs;
         this.tokens = burst;
-        this.filledAtMs = clockMs.getAsLong();
+        this.refilledAtMs = clockMs.getAsLong();
     }
 
-    /** Lines left out since the start. */
+    /** Number of lines dropped since the start. */
     long dropped() {
         return dropped.get();
     }
 
     @Override
     protected void doPublish(ExtLogRecord line) {
-        long told = 0;
+        long reported = 0;
         synchronized (this) {
-            if (!take() && line.getLevel().intValue() < Level.WARNING.intValue()) {
-                untold++;
+            if (!tryTakeToken() && line.getLevel().intValue() < Level.WARNING.intValue()) {
+                unreported++;
                 dropped.incrementAndGet();
                 return;
             }
-            told = untold;
-            untold = 0;
+            reported = unreported;
+            unreported = 0;
         }
-        if (told > 0) {
-            next.publish(new ExtLogRecord(Level.WARNING, "log lines left out count=" + told, LogLimit.class.getName()));
+        if (reported > 0) {
+            next.publish(new ExtLogRecord(
+                    Level.WARNING, "log lines left out count=" + reported, LogRateLimiter.class.getName()));
         }
         next.publish(line);
     }
 
-    private boolean take() {
+    private boolean tryTakeToken() {
         long nowMs = clockMs.getAsLong();
-        tokens = Math.min(burst, tokens + (nowMs - filledAtMs) * linesPerSecond / MS_PER_SECOND);
-        filledAtMs = nowMs;
+        tokens = Math.min(burst, tokens + (nowMs - refilledAtMs) * linesPerSecond / MS_PER_SECOND);
+        refilledAtMs = nowMs;
         if (tokens < 1) {
             return false;
         }
--- a/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/Ports.java
+++ b/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/Ports.java
@@ -6,30 +6,30 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Free loopback ports for processes that are started a moment later. They lie below the range the
- * system gives to outgoing connections, so no connection takes one in between, and one process never
- * answers the same port twice.
+ * Allocates free loopback ports for processes that are about to be started. The ports are below the
+ * ephemeral range, so that no outgoing connection takes one in the meantime, and a process does not
+ * return the same port again until it has tried the whole range.
  */
 public final class Ports {
 
-    private static final int FIRST = 20_000;
-    private static final int COUNT = 12_000;
-    private static final int SPREAD = 131;
-    private static final AtomicInteger NEXT =
-            new AtomicInteger((int) (ProcessHandle.current().pid() * SPREAD % COUNT));
+    private static final int FIRST_PORT = 20_000;
+    private static final int PORT_COUNT = 12_000;
+    private static final int PID_STRIDE = 131;
+    private static final AtomicInteger NEXT_OFFSET =
+            new AtomicInteger((int) (ProcessHandle.current().pid() * PID_STRIDE % PORT_COUNT));
 
     private Ports() {}
 
-    /** A port nothing listens on. */
+    /** Returns a port on which nothing listens. */
     public static int free() {
-        for (int tried = 0; tried < COUNT; tried++) {
-            int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), COUNT);
+        for (int attempt = 0; attempt < PORT_COUNT; attempt++) {
+            int port = FIRST_PORT + Math.floorMod(NEXT_OFFSET.getAndIncrement(), PORT_COUNT);
             try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return s.getLocalPort();
-            } catch (IOException taken) {
+            } catch (IOException portInUse) {
                 continue;
             }
         }
-        throw new IllegalStateException("no free port in " + FIRST + ".." + (FIRST + COUNT - 1));
+        throw new IllegalStateException("no free port in " + FIRST_PORT + ".." + (FIRST_PORT + PORT_COUNT - 1));
     }
 }
--- a/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/ProcessUsage.java
+++ b/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/ProcessUsage.java
@@ -8,21 +8,21 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * Processor time and memory of this process, for the state dump and the capacity figures.
+ * CPU time and memory usage of this process, for the state dump and capacity measurements.
  *
- * @param cpuMs processor time used since the process started
- * @param residentBytes memory it occupies, from {@code /proc/self/status}; 0 where there is no such file
- * @param privateBytes of that, memory shared with no file or process
+ * @param cpuMs CPU time since the start of the process
+ * @param residentBytes resident set size from {@code /proc/self/status}; 0 on systems without that file
+ * @param privateBytes resident anonymous memory, which is not backed by files
  * @param heapBytes heap in use
  */
 public record ProcessUsage(long cpuMs, long residentBytes, long privateBytes, long heapBytes) {
 
-    private static final Path STATUS = Path.of("/proc/self/status");
+    private static final Path STATUS_FILE = Path.of("/proc/self/status");
     private static final String RESIDENT = "VmRSS:";
-    private static final String PRIVATE = "RssAnon:";
+    private static final String ANONYMOUS = "RssAnon:";
     private static final long BYTES_PER_KB = 1_024;
 
-    /** Reads the figures now. */
+    /** Reads the current values. */
     public static ProcessUsage now() {
         Runtime runtime = Runtime.getRuntime();
         long cpuMs = ProcessHandle.current()
@@ -31,10 +31,10 @@
                 .map(Duration::toMillis)
                 .orElse(0L);
         return new ProcessUsage(
-                cpuMs, statusBytes(RESIDENT), statusBytes(PRIVATE), runtime.totalMemory() - runtime.freeMemory());
+                cpuMs, statusBytes(RESIDENT), statusBytes(ANONYMOUS), runtime.totalMemory() - runtime.freeMemory());
     }
 
-    /** As JSON. */
+    /** Converts to JSON for the state dump. */
     public JsonObject toJson() {
         return new JsonObject()
                 .put("cpuMs", cpuMs)
@@ -45,7 +45,7 @@
 
     private static long statusBytes(String field) {
         try {
-            for (String line : Files.readAllLines(STATUS)) {
+            for (String line : Files.readAllLines(STATUS_FILE)) {
                 if (line.startsWith(field)) {
                     String[] parts = line.substring(field.length()).trim().split("\\s+");
                     return Long.parseLong(parts[0]) * BYTES_PER_KB;
--- a/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/Settings.java
+++ b/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/Settings.java
@@ -16,23 +16,23 @@
 import org.ini4j.Profile;
 
 /**
- * An INI settings file read with ini4j, with typed getters that collect every problem instead of
- * stopping at the first. Call {@link #check()} once all values are read: it fails naming each bad or
- * unknown key, so a typo is caught at start, not at the first request.
+ * Settings from an INI file parsed with ini4j. The typed getters collect problems instead of stopping at
+ * the first one. Call {@link #check()} after reading all values: it reports every invalid or unknown key,
+ * so that a typo is found at start and not at the first request.
  */
 public final class Settings {
 
     private final String source;
     private final Ini ini;
     private final List<String> problems = new ArrayList<>();
-    private final Map<String, Set<String>> known = new java.util.HashMap<>();
+    private final Map<String, Set<String>> requestedKeys = new java.util.HashMap<>();
 
     private Settings(String source, Ini ini) {
         this.source = source;
         this.ini = ini;
     }
 
-    /** Reads a settings file; the left side names the file and why it cannot be read. */
+    /** Reads a settings file; the left value names the file and why it cannot be read. */
     public static Either<SettingsException, Settings> load(Path file) {
         if (!Files.isRegularFile(file)) {
             return Either.left(new SettingsException(file.toString(), List.of("no such settings file")));
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Reads settings from text, for tests and embedded defaults. */
+    /** Parses settings from a string, for tests and embedded defaults. */
     public static Either<SettingsException, Settings> fromText(String source, String text) {
         return parse(source, new StringReader(text));
     }
@@ -67,7 +67,7 @@
         return List.copyOf(ini.keySet());
     }
 
-    /** A text value; a missing key without default is a problem. */
+    /** A text value; a missing key is a problem if {@code fallback} is null. */
     public String text(String section, String key, String fallback) {
         String raw = raw(section, key);
         if (raw == null && fallback == null) {
@@ -81,7 +81,7 @@
         return text(section, key, null);
     }
 
-    /** A whole number within {@code min..max}. */
+    /** An integer within {@code min..max}. */
     public long number(String section, String key, long fallback, long min, long max) {
         String raw = raw(section, key);
         if (raw == null) {
@@ -99,12 +99,12 @@
         }
     }
 
-    /** A TCP port, 0 meaning any free one. */
+    /** A TCP port; 0 selects any free port. */
     public int port(String section, String key, int fallback) {
         return (int) number(section, key, fallback, 0, 65_535);
     }
 
-    /** A true/false value. */
+    /** A boolean value. */
     public boolean flag(String section, String key, boolean fallback) {
         String raw = raw(section, key);
         if (raw == null) {
@@ -120,19 +120,19 @@
         };
     }
 
-    /** Notes a problem found by the caller's own checks. */
+    /** Adds a problem found by the caller's own validation. */
     public void problem(String section, String key, String what) {
         problems.add("[" + section + "] " + key + ": " + what);
     }
 
-    /** Fails with every problem seen, and every key that no getter asked for. */
+    /** Returns these settings, or all collected problems and all keys that no getter has read. */
     public Either<SettingsException, Settings> check() {
         List<String> all = new ArrayList<>(problems);
         for (String section : ini.keySet()) {
             Profile.Section s = ini.get(section);
-            Set<String> asked = known.getOrDefault(section, Set.of());
+            Set<String> requested = requestedKeys.getOrDefault(section, Set.of());
             for (String key : s.keySet()) {
-                if (!asked.contains(key)) {
+                if (!requested.contains(key)) {
                     all.add("[" + section + "] " + key + ": unknown key");
                 }
             }
@@ -141,7 +141,7 @@
     }
 
     private String raw(String section, String key) {
-        known.computeIfAbsent(section, s -> new java.util.HashSet<>()).add(key);
+        requestedKeys.computeIfAbsent(section, s -> new java.util.HashSet<>()).add(key);
         Profile.Section s = ini.get(section);
         return s == null ? null : s.get(key);
     }
--- a/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/StatusEndpoints.java
+++ b/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/StatusEndpoints.java
@@ -14,9 +14,9 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * The status paths every onyxhinge process serves: {@code GET /healthz} (200 while it takes work,
- * 503 while draining), {@code GET /metrics} (Dropwizard metrics as JSON) and {@code GET /debug/state}
- * (the state dump, built each time it is asked for).
+ * HTTP handler for the status endpoints of every onyxhinge process: {@code GET /healthz} (200 while it
+ * accepts work, 503 while draining), {@code GET /metrics} (Dropwizard metrics as JSON) and
+ * {@code GET /debug/state} (the state dump, created for each request).
  */
 public final class StatusEndpoints implements Handler<HttpServerRequest> {
 
@@ -26,7 +26,7 @@
     private static final String HEALTH_PATH = "/healthz";
     private static final String METRICS_PATH = "/metrics";
 
-    /** Every status path. */
+    /** All status paths. */
     public static final List<String> PATHS = List.of(HEALTH_PATH, METRICS_PATH, STATE_PATH);
 
     private final MetricRegistry metrics;
@@ -39,7 +39,7 @@
         this.healthy = healthy;
     }
 
-    /** Creates the handler of the status paths; other paths are answered 404. */
+    /** Creates the handler; it answers 404 for other paths. */
     public static StatusEndpoints create(
             MetricRegistry metrics, Supplier<Future<JsonObject>> state, Supplier<Boolean> healthy) {
         return new StatusEndpoints(metrics, state, healthy);
@@ -50,21 +50,21 @@
         switch (req.path()) {
             case HEALTH_PATH ->
                 req.response().setStatusCode(healthy.get() ? 200 : 503).end(healthy.get() ? "ok\n" : "draining\n");
-            case METRICS_PATH -> answer(req, toJson(metrics));
+            case METRICS_PATH -> respond(req, toJson(metrics));
             case STATE_PATH ->
                 state.get()
-                        .onSuccess(dump ->
-                                answer(req, dump.put("usage", ProcessUsage.now().toJson())))
+                        .onSuccess(dump -> respond(
+                                req, dump.put("usage", ProcessUsage.now().toJson())))
                         .onFailure(e -> req.response().setStatusCode(500).end(e.getMessage() + "\n"));
             default -> req.response().setStatusCode(404).end();
         }
     }
 
-    private static void answer(HttpServerRequest req, JsonObject body) {
+    private static void respond(HttpServerRequest req, JsonObject body) {
         req.response().putHeader("content-type", "application/json").end(body.encodePrettily());
     }
 
-    /** Counters, meters and gauges of a registry as one JSON object. */
+    /** The counters, meters and gauges of a registry as a JSON object. */
     public static JsonObject toJson(MetricRegistry metrics) {
         JsonObject out = new JsonObject();
         for (Map.Entry<String, Counter> e : metrics.getCounters().entrySet()) {
--- a/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/package-info.java
+++ b/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Process plumbing shared by the router, the agent and the stand-ins: INI settings checked at start,
- * key=value logging through JBoss LogManager, Dropwizard metrics with HdrHistogram latencies, and the
- * state dump every process serves on request.
+ * Infrastructure shared by the router, the agent and the stand-ins: INI settings validated at start,
+ * key=value logging with JBoss LogManager, Dropwizard metrics with HdrHistogram latencies, and the status
+ * endpoints, which include the state dump.
  */
 package org.onyxhinge.runtime;
--- a/onyxhinge-runtime/src/test/java/org/onyxhinge/runtime/LogRateLimiterTest.java
+++ b/onyxhinge-runtime/src/test/java/org/onyxhinge/runtime/LogRateLimiterTest.java
@@ -14,11 +14,11 @@
 import static org.hamcrest.Matchers.hasSize;
 import static org.hamcrest.Matchers.is;
 
-class LogLimitTest {
+class LogRateLimiterTest {
 
     private final List<String> written = new ArrayList<>();
     private final AtomicLong nowMs = new AtomicLong();
-    private final LogLimit limit = new LogLimit(
+    private final LogRateLimiter limiter = new LogRateLimiter(
             new ExtHandler() {
                 @Override
                 protected void doPublish(ExtLogRecord line) {
@@ -31,19 +31,19 @@
 
     private void write(int lines, Level level) {
         for (int i = 0; i < lines; i++) {
-            limit.publish(new ExtLogRecord(level, "line " + i, "test"));
+            limiter.publish(new ExtLogRecord(level, "line " + i, "test"));
         }
     }
 
     @Test
-    void aFloodIsCutOffAtTheBurstAndCounted() {
+    void linesBeyondTheBurstAreDroppedAndCounted() {
         write(1_000, Level.INFO);
         assertThat(written, hasSize(10));
-        assertThat(limit.dropped(), is(990L));
+        assertThat(limiter.dropped(), is(990L));
     }
 
     @Test
-    void overTimeLinesPassAtTheRateAndTheGapIsTold() {
+    void linesPassAtTheSustainedRateAndDropsAreReported() {
         write(1_000, Level.INFO);
         written.clear();
         nowMs.addAndGet(50);
