--- a/onyxhinge-standins/src/main/java/org/onyxhinge/standins/engine/EngineSpec.java
+++ b/onyxhinge-standins/src/main/java/org/onyxhinge/standins/engine/EngineSpec.java
@@ -1,15 +1,15 @@
 package org.onyxhinge.standins.engine;
 
 /**
- * How an engine stand-in behaves. Unlike engines differ in these numbers.
+ * Parameters of an engine stand-in. Engines of different performance differ in these values.
  *
- * @param engineId the engine's id, echoed in its load report
- * @param maxBatch sequences it runs at once; more wait in its own first-come queue
- * @param prefillTokensPerSecond prompt tokens it processes per second, shared by the batch
- * @param decodeTokensPerSecond tokens each sequence gets per second
- * @param cachePrefixes how many prompt prefixes its cache holds, least recently used out first
- * @param loadLagMs how old its published load report is
- * @param checksFencing true when it refuses orders with an old fencing number itself
+ * @param engineId the engine's id, included in its load report
+ * @param maxBatch maximum batch size in sequences; further ones wait in the engine's FIFO queue
+ * @param prefillTokensPerSecond prefill throughput in prompt tokens per second, shared by the batch
+ * @param decodeTokensPerSecond decode rate per sequence
+ * @param cachePrefixes capacity of the LRU prefix cache, in prefixes
+ * @param loadLagMs interval at which the load report is refreshed, and so its maximum age
+ * @param checksFencing true if the engine itself rejects orders with an outdated fencing token
  */
 public record EngineSpec(
         String engineId,
--- a/onyxhinge-standins/src/main/java/org/onyxhinge/standins/engine/EngineStandIn.java
+++ b/onyxhinge-standins/src/main/java/org/onyxhinge/standins/engine/EngineStandIn.java
@@ -22,21 +22,20 @@
 import org.jboss.logging.Logger;
 
 /**
- * A model engine stand-in that batches continuously, as real engines do. It speaks the OpenAI
- * chat-completions shape ({@code POST /v1/chat/completions}, streamed as server-sent events), admits
- * requests first come first served with no notion of priority, caches prompt prefixes (the system
- * message) in limited memory, and publishes its load late ({@code GET /load}). Closing the connection
- * cancels a request. {@code POST /admin/slowdown?factor=F} makes it F times slower without
- * warning: its load report does not show it.
- * {@code POST /admin/order} takes orders to load a model, adapter or version or to change role. {@code
- * GET /stats} gives exact counts, wasted prefill among them, for the load tool.
+ * A model engine stand-in with continuous batching. It serves the OpenAI chat-completions API ({@code POST
+ * /v1/chat/completions}, streamed as server-sent events), admits requests in FIFO order without priorities,
+ * caches prompt prefixes (the system message) in an LRU cache of limited size, and publishes its load with a
+ * delay ({@code GET /load}). Closing the connection cancels a request. {@code POST
+ * /admin/slowdown?factor=F} makes it F times slower, which its load report does not show. {@code POST
+ * /admin/order} accepts orders to load a model, adapter or version or to change the role. {@code GET
+ * /stats} returns exact counts, including wasted prefill, for the load generator.
  *
- * <p>Every step of {@link #STEP_MS} the batch shares the prefill budget first come first served, then
- * each sequence past prefill gets its share of decode tokens.
+ * <p>In every step of {@link #STEP_MS}, sequences in prefill share the prefill budget in FIFO order, and
+ * each sequence past prefill receives its decode tokens.
  */
 public final class EngineStandIn implements AutoCloseable {
 
-    /** Length of one batch step. */
+    /** Duration of a batch step. */
     public static final long STEP_MS = 10;
 
     private static final Logger LOG = Logger.getLogger(EngineStandIn.class);
@@ -64,10 +63,10 @@
     private long cancelled;
     private long tokensGenerated;
     private long highestOrderToken;
-    private long ordersTaken;
-    private long requestsSeenTwice;
+    private long ordersExecuted;
+    private long duplicateRequests;
     private final Set<String> requestIds = new HashSet<>();
-    private final Map<String, Object> inForce = new TreeMap<>();
+    private final Map<String, Object> appliedOrders = new TreeMap<>();
 
     private EngineStandIn(Vertx vertx, EngineSpec spec) {
         this.vertx = vertx;
@@ -91,12 +90,12 @@
         return done.future();
     }
 
-    /** The port it listens on. */
+    /** The port on which it listens. */
     public int port() {
         return server.actualPort();
     }
 
-    /** What it was started with. */
+    /** The parameters of this engine. */
     public EngineSpec spec() {
         return spec;
     }
@@ -128,7 +127,7 @@
             context.runOnContext(v ->
                     req.response().putHeader("content-type", "application/json").end(stats().encode()));
         } else if (path.equals("/admin/order")) {
-            req.body().onSuccess(body -> context.runOnContext(v -> order(req, body.toString())));
+            req.body().onSuccess(body -> context.runOnContext(v -> executeOrder(req, body.toString())));
         } else if (path.equals("/admin/slowdown")) {
             double factor = Double.parseDouble(req.getParam("factor", "1"));
             context.runOnContext(v -> {
@@ -140,8 +139,8 @@
         }
     }
 
-    /** Takes an order; refuses an old fencing token only when this engine checks them. */
-    private void order(HttpServerRequest req, String text) {
+    /** Executes an order; rejects an outdated fencing token only if this engine checks fencing. */
+    private void executeOrder(HttpServerRequest req, String text) {
         JsonObject order = new JsonObject(text);
         long token = order.getLong("fencingToken", 0L);
         if (spec.checksFencing() && token < highestOrderToken) {
@@ -149,8 +148,8 @@
             return;
         }
         highestOrderToken = Math.max(highestOrderToken, token);
-        inForce.put(order.getString("kind"), order.getString("argument"));
-        ordersTaken++;
+        appliedOrders.put(order.getString("kind"), order.getString("argument"));
+        ordersExecuted++;
         req.response().end("ok\n");
     }
 
@@ -168,7 +167,7 @@
         int cachedTokens = hit ? Math.min(prompt.prefixTokens(), prompt.tokens()) : 0;
         String id = req.getHeader("x-request-id") == null ? "eng-" + System.nanoTime() : req.getHeader("x-request-id");
         if (!requestIds.add(id)) {
-            requestsSeenTwice++;
+            duplicateRequests++;
         }
         boolean stream = body.getBoolean("stream", false);
         Sequence s = new Sequence(id, req.response(), stream, prompt, cachedTokens, body.getInteger("max_tokens", 16));
@@ -186,25 +185,25 @@
         }
         long prefillBudget = (long) (spec.prefillTokensPerSecond() * STEP_MS / MS_PER_SECOND / slowdown);
         double decodeShare = spec.decodeTokensPerSecond() * STEP_MS / (double) MS_PER_SECOND / slowdown;
-        for (Iterator<Sequence> it = running.iterator(); it.hasNext(); ) {
-            Sequence s = it.next();
+        for (Iterator<Sequence> iterator = running.iterator(); iterator.hasNext(); ) {
+            Sequence s = iterator.next();
             if (s.inPrefill()) {
                 prefillBudget -= prefill(s, prefillBudget);
             } else if (decode(s, decodeShare)) {
-                it.remove();
+                iterator.remove();
                 finish(s);
             }
         }
     }
 
     private long prefill(Sequence s, long budget) {
-        int take = (int) Math.min(budget, s.promptTokens - s.prefilled);
-        s.prefilled += take;
-        prefillComputed += take;
+        int processed = (int) Math.min(budget, s.promptTokens - s.prefilled);
+        s.prefilled += processed;
+        prefillComputed += processed;
         if (!s.inPrefill() && s.prefixHash != 0 && cache.put(s.prefixHash, Boolean.TRUE) == null) {
             newlyCached.add(s.prefixHash);
         }
-        return take;
+        return processed;
     }
 
     private boolean decode(Sequence s, double share) {
@@ -219,12 +218,12 @@
         return s.finished();
     }
 
-    private void emit(Sequence s, String piece) {
+    private void emit(Sequence s, String text) {
         if (s.stream) {
-            JsonObject delta = new JsonObject().put("content", piece);
+            JsonObject delta = new JsonObject().put("content", text);
             s.response.write("data: " + chunk(s, delta, null).encode() + "\n\n");
         } else {
-            s.text.append(piece);
+            s.text.append(text);
         }
     }
 
@@ -263,13 +262,13 @@
     }
 
     private void dropCancelled() {
-        for (Iterator<Sequence> it = running.iterator(); it.hasNext(); ) {
-            Sequence s = it.next();
+        for (Iterator<Sequence> iterator = running.iterator(); iterator.hasNext(); ) {
+            Sequence s = iterator.next();
             if (s.cancelled) {
-                it.remove();
+                iterator.remove();
                 cancelled++;
                 prefillWasted += s.prefilled - s.cachedTokens;
-                LOG.debugf("engine cancelled engine=%s request=%s", spec.engineId(), s.id);
+                LOG.debugf("request cancelled engine=%s request=%s", spec.engineId(), s.id);
             }
         }
         waiting.removeIf(s -> s.cancelled);
@@ -299,9 +298,9 @@
                 .put("cancelled", cancelled)
                 .put("tokensGenerated", tokensGenerated)
                 .put("requestsSeen", requestIds.size())
-                .put("requestsSeenTwice", requestsSeenTwice)
-                .put("ordersTaken", ordersTaken)
-                .put("inForce", new JsonObject(inForce))
+                .put("requestsSeenTwice", duplicateRequests)
+                .put("ordersTaken", ordersExecuted)
+                .put("inForce", new JsonObject(appliedOrders))
                 .put("running", running.size())
                 .put("waiting", waiting.size());
     }
--- a/onyxhinge-standins/src/main/java/org/onyxhinge/standins/engine/Prompt.java
+++ b/onyxhinge-standins/src/main/java/org/onyxhinge/standins/engine/Prompt.java
@@ -5,11 +5,11 @@
 import org.onyxhinge.core.text.Tokens;
 
 /**
- * The parts of a chat-completions body the engine stand-in uses.
+ * The properties of a chat-completions prompt that the engine stand-in uses.
  *
  * @param tokens prompt length in tokens
- * @param hash hash of the whole prompt, which seeds the generated words
- * @param prefixHash hash of the system message, the shared prefix; 0 when there is none
+ * @param hash hash of the complete prompt, which determines the generated words
+ * @param prefixHash hash of the system message, which is the shared prefix; 0 if there is none
  * @param prefixTokens length of the system message in tokens
  */
 record Prompt(int tokens, long hash, long prefixHash, int prefixTokens) {
--- a/onyxhinge-standins/src/main/java/org/onyxhinge/standins/engine/Sequence.java
+++ b/onyxhinge-standins/src/main/java/org/onyxhinge/standins/engine/Sequence.java
@@ -2,7 +2,7 @@
 
 import io.vertx.core.http.HttpServerResponse;
 
-/** One request inside the engine stand-in: its prefill progress and decoded tokens. Engine thread only. */
+/** State of a request in the engine stand-in: prefill progress and generated tokens. Confined to its context. */
 final class Sequence {
 
     final String id;
--- a/onyxhinge-standins/src/main/java/org/onyxhinge/standins/kv/KvFaults.java
+++ b/onyxhinge-standins/src/main/java/org/onyxhinge/standins/kv/KvFaults.java
@@ -1,11 +1,11 @@
 package org.onyxhinge.standins.kv;
 
 /**
- * Faults the key-value stand-in is told to show.
+ * Faults injected into the key-value stand-in.
  *
- * @param down true while it refuses every call with {@code UNAVAILABLE}
- * @param delayMs extra time before each reply
- * @param lostReplyPercent share of writes whose reply is dropped after the write took effect
+ * @param down true if every call is answered with {@code UNAVAILABLE}
+ * @param delayMs additional delay before each reply
+ * @param lostReplyPercent percentage of writes whose reply is dropped after the write took effect
  */
 public record KvFaults(boolean down, long delayMs, int lostReplyPercent) {
 
--- a/onyxhinge-standins/src/main/java/org/onyxhinge/standins/kv/KvStandIn.java
+++ b/onyxhinge-standins/src/main/java/org/onyxhinge/standins/kv/KvStandIn.java
@@ -30,14 +30,15 @@
 
 /**
  * An in-memory key-value service with compare-and-swap, leases and prefix watches, over the protocol
- * of {@link org.onyxhinge.wire.kv}. One event-loop context owns all state. It keeps a bounded history
- * so a watch made again after a reconnect replays what it missed; a watch older than the history is
- * answered {@link KvStatus#COMPACTED}. Faults ({@link KvFaults}) make it refuse, stall, or lose replies.
+ * of {@link org.onyxhinge.wire.kv}. All state is confined to one event-loop context. A bounded history
+ * allows a watch that is re-established after a reconnect to replay the changes it missed; a watch from
+ * before the history is answered with {@link KvStatus#COMPACTED}. Injected faults ({@link KvFaults}) make
+ * the service unavailable, delay replies or drop them.
  */
 public final class KvStandIn implements AutoCloseable {
 
     private static final Logger LOG = Logger.getLogger(KvStandIn.class);
-    private static final int HISTORY = 50_000;
+    private static final int MAX_HISTORY_EVENTS = 50_000;
     private static final long EXPIRY_SCAN_MS = 50;
     private static final int MAX_VALUE_BYTES = 1 << 20;
 
@@ -51,7 +52,7 @@
     private final Map<String, Long> callsByType = new TreeMap<>();
     private NetServer server;
     private long revision;
-    private long compactedTo;
+    private long compactedRevision;
     private long nextLeaseId = 1;
     private KvFaults faults = KvFaults.none();
     private long timerId;
@@ -78,22 +79,22 @@
         return done.future();
     }
 
-    /** The port it listens on. */
+    /** The port on which it listens. */
     public int port() {
         return server.actualPort();
     }
 
-    /** Sets the faults to show from now on. */
+    /** Sets the faults to inject from now on. */
     public void faults(KvFaults next) {
         context.runOnContext(v -> {
             faults = next;
             LOG.infof(
-                    "kv faults down=%s delayMs=%d lostReplyPercent=%d",
+                    "kv faults set down=%s delayMs=%d lostReplyPercent=%d",
                     next.down(), next.delayMs(), next.lostReplyPercent());
         });
     }
 
-    /** Calls served by type, keys and revision, for the stand-in's status page. */
+    /** Calls by type, number of keys, revision and other figures, for the stand-in's status endpoint. */
     public Future<JsonObject> stats() {
         Promise<JsonObject> p = Promise.promise();
         context.runOnContext(v -> {
@@ -127,16 +128,16 @@
     }
 
     private void accept(NetSocket socket) {
-        socket.handler(FrameReader.create(body -> call(socket, body), e -> reject(socket, e)));
+        socket.handler(FrameReader.create(body -> handleCall(socket, body), e -> reject(socket, e)));
         socket.closeHandler(v -> watchers.removeIf(w -> w.socket == socket));
     }
 
     private void reject(NetSocket socket, WireException e) {
-        LOG.warnf("kv rejected frame remote=%s error=%s", socket.remoteAddress(), e.getMessage());
+        LOG.warnf("kv frame rejected remote=%s error=%s", socket.remoteAddress(), e.getMessage());
         socket.close();
     }
 
-    private void call(NetSocket socket, Buffer body) {
+    private void handleCall(NetSocket socket, Buffer body) {
         KvMessage m;
         try {
             m = KvCodec.decode(body.getBytes());
@@ -147,27 +148,28 @@
         if (!(m instanceof KvMessage.Call c)) {
             reject(
                     socket,
-                    new WireException("client sent a non-call " + m.getClass().getSimpleName()));
+                    new WireException("unexpected message from the client: "
+                            + m.getClass().getSimpleName()));
             return;
         }
         callsByType.merge(c.getClass().getSimpleName(), 1L, Long::sum);
         if (faults.down()) {
-            answer(socket, new KvMessage.Reply(c.callId(), KvStatus.UNAVAILABLE, revision, List.of(), 0), false);
+            sendReply(socket, new KvMessage.Reply(c.callId(), KvStatus.UNAVAILABLE, revision, List.of(), 0), false);
             return;
         }
-        if (c instanceof KvMessage.Watch w && w.fromRevision() < compactedTo) {
-            answer(socket, new KvMessage.Reply(c.callId(), KvStatus.COMPACTED, revision, List.of(), 0), false);
+        if (c instanceof KvMessage.Watch w && w.fromRevision() < compactedRevision) {
+            sendReply(socket, new KvMessage.Reply(c.callId(), KvStatus.COMPACTED, revision, List.of(), 0), false);
             return;
         }
         KvMessage.Reply reply = apply(socket, c);
         boolean write = c instanceof KvMessage.Put || c instanceof KvMessage.Delete;
-        answer(socket, reply, write);
+        sendReply(socket, reply, write);
         if (c instanceof KvMessage.Watch w) {
             replay(watchers.get(watchers.size() - 1), w.fromRevision());
         }
     }
 
-    private void answer(NetSocket socket, KvMessage.Reply reply, boolean write) {
+    private void sendReply(NetSocket socket, KvMessage.Reply reply, boolean write) {
         if (write && faults.lostReplyPercent() > 0 && random.nextInt(100) < faults.lostReplyPercent()) {
             return;
         }
@@ -200,7 +202,7 @@
 
     private KvMessage.Reply put(KvMessage.Put p) {
         KvEntry old = data.get(p.key());
-        if (!versionMatches(old, p.expectedVersion())) {
+        if (!isExpectedVersion(old, p.expectedVersion())) {
             return new KvMessage.Reply(
                     p.callId(), KvStatus.CONFLICT, revision, old == null ? List.of() : List.of(old), 0);
         }
@@ -224,7 +226,7 @@
         if (old == null) {
             return new KvMessage.Reply(d.callId(), KvStatus.NOT_FOUND, revision, List.of(), 0);
         }
-        if (!versionMatches(old, d.expectedVersion())) {
+        if (!isExpectedVersion(old, d.expectedVersion())) {
             return new KvMessage.Reply(d.callId(), KvStatus.CONFLICT, revision, List.of(old), 0);
         }
         remove(d.key());
@@ -239,7 +241,7 @@
         }
     }
 
-    private static boolean versionMatches(KvEntry old, long expected) {
+    private static boolean isExpectedVersion(KvEntry old, long expected) {
         if (expected == KvMessage.ANY) {
             return true;
         }
@@ -260,19 +262,19 @@
         }
     }
 
-    /** Forgets its history, so that watches from before must read the keys again. */
+    /** Discards the history, so that watches from an earlier revision must read the keys again. */
     public void compact() {
         context.runOnContext(v -> {
             history.clear();
-            compactedTo = revision;
-            LOG.infof("kv compacted revision=%d", revision);
+            compactedRevision = revision;
+            LOG.infof("kv history compacted revision=%d", revision);
         });
     }
 
     private void publish(KvMessage.Event e) {
         history.addLast(e);
-        if (history.size() > HISTORY) {
-            compactedTo = history.removeFirst().revision();
+        if (history.size() > MAX_HISTORY_EVENTS) {
+            compactedRevision = history.removeFirst().revision();
         }
         for (Watcher w : watchers) {
             if (e.entry().key().startsWith(w.prefix)) {
@@ -299,27 +301,27 @@
     private KvMessage.Reply revoke(KvMessage.LeaseRevoke r) {
         Lease lease = leases.remove(r.leaseId());
         if (lease != null) {
-            removeKeysOf(r.leaseId(), lease);
+            removeKeys(r.leaseId(), lease);
         }
         return ok(r.callId(), List.of(), r.leaseId());
     }
 
     private void expireLeases() {
         long now = MonotonicClock.nowMs();
-        List<Long> lapsed = new ArrayList<>();
+        List<Long> expired = new ArrayList<>();
         leases.forEach((id, lease) -> {
             if (lease.expiresAtMs <= now) {
-                lapsed.add(id);
+                expired.add(id);
             }
         });
-        for (long id : lapsed) {
-            LOG.debugf("kv lease lapsed lease=%d", id);
-            removeKeysOf(id, leases.remove(id));
+        for (long id : expired) {
+            LOG.debugf("kv lease expired lease=%d", id);
+            removeKeys(id, leases.remove(id));
         }
     }
 
-    /** Deletes the keys still bound to an ended lease; a key written again since under another stays. */
-    private void removeKeysOf(long leaseId, Lease lease) {
+    /** Deletes the keys that are still bound to an ended lease; a key since rebound to another lease is kept. */
+    private void removeKeys(long leaseId, Lease lease) {
         for (String key : lease.keys) {
             KvEntry entry = data.get(key);
             if (entry != null && entry.leaseId() == leaseId) {
@@ -355,8 +357,8 @@
         }
 
         private void send(KvMessage.Event e) {
-            KvMessage.Event mine = new KvMessage.Event(id, e.revision(), e.deleted(), e.entry());
-            socket.write(FrameReader.frame(KvCodec.encode(mine)));
+            KvMessage.Event watchEvent = new KvMessage.Event(id, e.revision(), e.deleted(), e.entry());
+            socket.write(FrameReader.frame(KvCodec.encode(watchEvent)));
         }
     }
 }
--- a/onyxhinge-standins/src/main/java/org/onyxhinge/standins/package-info.java
+++ b/onyxhinge-standins/src/main/java/org/onyxhinge/standins/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Small stand-ins for what the platform gives: the key-value service, model engines, plain services.
- * They speak the same protocols as the real ones at the interfaces onyxhinge uses and can be told to
- * fail. They are fakes at the interfaces, not a simulator of a cluster.
+ * Stand-ins (fakes) for the services of the platform: the key-value service, model engines, plain
+ * services and the VM list. They implement the protocols that onyxhinge uses and support fault injection.
+ * They do not simulate a cluster.
  */
 package org.onyxhinge.standins;
--- a/onyxhinge-standins/src/main/java/org/onyxhinge/standins/service/PlainServiceStandIn.java
+++ b/onyxhinge-standins/src/main/java/org/onyxhinge/standins/service/PlainServiceStandIn.java
@@ -12,9 +12,9 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * A plain service stand-in whose calls may not be repeated, such as a print instruction. {@code POST
- * /v1/calls/NAME} runs a call after {@code latencyMs} and answers one JSON body; every execution is
- * counted by the {@code Idempotency-Key} header, so {@code GET /stats} shows the keys run and any run twice.
+ * A stand-in for a plain service with non-idempotent calls, such as a print instruction. {@code POST
+ * /v1/calls/NAME} executes a call after {@code latencyMs} and returns a JSON body. Executions are counted
+ * by {@code Idempotency-Key} header, so {@code GET /stats} shows the executed keys and any duplicates.
  */
 public final class PlainServiceStandIn implements AutoCloseable {
 
@@ -36,7 +36,7 @@
         return s.server.listen(port, host).map(s);
     }
 
-    /** The port it listens on. */
+    /** The port on which it listens. */
     public int port() {
         return server.actualPort();
     }
@@ -48,7 +48,7 @@
 
     private void handle(HttpServerRequest req) {
         if (req.path().startsWith("/v1/calls/") && req.method().name().equals("POST")) {
-            req.body().onSuccess(body -> vertx.setTimer(Math.max(1, latencyMs), t -> run(req, body.toString())));
+            req.body().onSuccess(body -> vertx.setTimer(Math.max(1, latencyMs), t -> execute(req, body.toString())));
         } else if (req.path().equals("/stats")) {
             req.response().putHeader("content-type", "application/json").end(stats().encode());
         } else if (req.path().equals("/load")) {
@@ -60,9 +60,9 @@
         }
     }
 
-    private void run(HttpServerRequest req, String body) {
+    private void execute(HttpServerRequest req, String body) {
         String key = req.getHeader("idempotency-key") == null ? "" : req.getHeader("idempotency-key");
-        long n = executions.computeIfAbsent(key, k -> new AtomicLong()).incrementAndGet();
+        long execution = executions.computeIfAbsent(key, k -> new AtomicLong()).incrementAndGet();
         total.incrementAndGet();
         String call = req.path().substring("/v1/calls/".length());
         req.response()
@@ -70,7 +70,7 @@
                 .end(new JsonObject()
                         .put("call", call)
                         .put("key", key)
-                        .put("execution", n)
+                        .put("execution", execution)
                         .put("bodyBytes", body.length())
                         .encode());
     }
--- a/onyxhinge-standins/src/main/java/org/onyxhinge/standins/vmlist/VmListStandIn.java
+++ b/onyxhinge-standins/src/main/java/org/onyxhinge/standins/vmlist/VmListStandIn.java
@@ -10,8 +10,9 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * The platform's list of VMs, live and leaving, which lags: {@code POST /vms/ID?state=leaving} shows in
- * {@code GET /vms} and {@code GET /vms/ID} only after {@code lagMs}. A VM nobody has set is live.
+ * A stand-in for the platform's list of live and leaving VMs, which is updated with a delay: {@code POST
+ * /vms/ID?state=leaving} is visible in {@code GET /vms} and {@code GET /vms/ID} only after {@code lagMs}.
+ * A VM without a recorded state is live.
  */
 public final class VmListStandIn implements AutoCloseable {
 
@@ -34,7 +35,7 @@
         return list.server.listen(port, host).map(list);
     }
 
-    /** The port it listens on. */
+    /** The port on which it listens. */
     public int port() {
         return server.actualPort();
     }
@@ -51,17 +52,17 @@
             vertx.setTimer(Math.max(1, lagMs), t -> published.put(id, state));
             req.response().end("ok\n");
         } else if (!id.isEmpty()) {
-            answer(req, new JsonObject().put("id", id).put("state", published.getOrDefault(id, LIVE)));
+            respond(req, new JsonObject().put("id", id).put("state", published.getOrDefault(id, LIVE)));
         } else if (req.path().equals("/vms")) {
             JsonObject all = new JsonObject();
             published.forEach(all::put);
-            answer(req, all);
+            respond(req, all);
         } else {
             req.response().setStatusCode(404).end();
         }
     }
 
-    private static void answer(HttpServerRequest req, JsonObject body) {
+    private static void respond(HttpServerRequest req, JsonObject body) {
         req.response().putHeader("content-type", "application/json").end(body.encode());
     }
 }
