--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerMessage.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerMessage.java
@@ -122,8 +122,8 @@
      * incremental and contain only the entries that changed since the previous one.
      *
      * @param routerId the sending router
-     * @param life random number that identifies the current start of the router process
-     * @param whole true for a full update, false for an incremental one
+     * @param startId random number that identifies the current start of the router process
+     * @param full true for a full update, false for an incremental one
      * @param uses calls in progress, by target; an entry without calls removes the previous entry
      * @param totals quota units admitted since the start of the router, by workspace
      * @param windows quota units that all routers together admitted in the current quota window, as far as the sender
@@ -221,7 +221,7 @@
      * The rate limit that a response of a target advertised, or its absence.
      *
      * @param incarnation incarnation of the target
-     * @param named false if the response advertised no limit
+     * @param advertised false if the response advertised no limit
      * @param perSecond requests per second that the target accepts from all routers together; 0 if not advertised
      * @param agoMs time since the limit was advertised or, without one, since the call with that response was sent;
      *     a relative time, because the clocks of routers differ
