--- a/onyxhinge-agent/src/main/java/org/onyxhinge/agent/AgentNode.java
+++ b/onyxhinge-agent/src/main/java/org/onyxhinge/agent/AgentNode.java
@@ -23,7 +23,7 @@
 import org.onyxhinge.wire.MonotonicClock;
 import org.onyxhinge.wire.kv.KvClient;
 import org.onyxhinge.wire.kv.KvKeys;
-import org.onyxhinge.wire.kv.LeaseKeeper;
+import org.onyxhinge.wire.kv.LeasedKey;
 import org.onyxhinge.wire.peer.PeerMessage;
 
 /**
@@ -45,7 +45,7 @@
     private HttpClient target;
     private OrderExecutor orders;
     private RouterConnections routers;
-    private LeaseKeeper membership;
+    private LeasedKey membership;
     private HttpServer statusServer;
     private EngineInfo engine;
     private JsonObject lastLoad = new JsonObject();
@@ -114,7 +114,7 @@
     /** Registers this agent in the key-value service under its pool and target, for discovery by routers. */
     private void register() {
         String address = settings.advertiseHost() + ":" + routers.port();
-        membership = LeaseKeeper.hold(
+        membership = LeasedKey.hold(
                 vertx,
                 kv,
                 KvKeys.AGENTS + settings.pool() + "/" + settings.targetId(),
@@ -237,7 +237,7 @@
         controlContext.runOnContext(v -> {
             draining = true;
             report();
-            routers.broadcast(new PeerMessage.Bye());
+            routers.broadcast(new PeerMessage.AgentLeaving());
             LOG.infof("agent draining id=%s", settings.agentId());
             awaitIdle(MonotonicClock.nowMs(), MonotonicClock.nowMs() + settings.drainTimeoutMs(), done);
         });
--- a/onyxhinge-agent/src/main/java/org/onyxhinge/agent/RouterConnections.java
+++ b/onyxhinge-agent/src/main/java/org/onyxhinge/agent/RouterConnections.java
@@ -119,10 +119,10 @@
         private void handle(PeerMessage.ToAgent message) {
             switch (message) {
                 case PeerMessage.Subscribe s -> onSubscribe(s.routerId());
-                case PeerMessage.RoomRequest r ->
+                case PeerMessage.PreemptionRequest r ->
                     execute(preemptionBroker.preemptionRequested(
                             routerId, r.askId(), r.rank(), routerIds(), MonotonicClock.nowMs()));
-                case PeerMessage.Yielded y ->
+                case PeerMessage.PreemptResult y ->
                     execute(preemptionBroker.answered(routerId, y.turnId(), y.made(), MonotonicClock.nowMs()));
                 case PeerMessage.OrderRequest o -> submitOrder(o);
             }
@@ -148,8 +148,8 @@
             if (to != null) {
                 to.send(
                         switch (step) {
-                            case PreemptionStep.AskRouter a -> new PeerMessage.Yield(a.turnId(), a.rank());
-                            case PreemptionStep.Answer a -> new PeerMessage.RoomReply(a.askId(), a.made());
+                            case PreemptionStep.AskRouter a -> new PeerMessage.PreemptCommand(a.turnId(), a.rank());
+                            case PreemptionStep.Answer a -> new PeerMessage.PreemptionReply(a.askId(), a.made());
                         });
             }
         }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterMetrics.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterMetrics.java
@@ -7,7 +7,7 @@
 import com.codahale.metrics.MetricRegistry;
 import io.vertx.core.json.JsonObject;
 import org.onyxhinge.core.schedule.RefusalReason;
-import org.onyxhinge.runtime.Latency;
+import org.onyxhinge.runtime.LatencyHistogram;
 import org.onyxhinge.runtime.StatusEndpoints;
 
 /**
@@ -18,10 +18,10 @@
 public final class RouterMetrics {
 
     private final MetricRegistry registry = new MetricRegistry();
-    private final Map<String, Latency> firstTokenLatencyByTier = new ConcurrentHashMap<>();
-    private final Map<String, Latency> interTokenLatencyByTier = new ConcurrentHashMap<>();
-    private final Latency dispatchDelay = Latency.create();
-    private final Latency addedLatency = Latency.create();
+    private final Map<String, LatencyHistogram> firstTokenLatencyByTier = new ConcurrentHashMap<>();
+    private final Map<String, LatencyHistogram> interTokenLatencyByTier = new ConcurrentHashMap<>();
+    private final LatencyHistogram dispatchDelay = LatencyHistogram.create();
+    private final LatencyHistogram addedLatency = LatencyHistogram.create();
 
     /** Returns the underlying Dropwizard registry. */
     public MetricRegistry registry() {
@@ -53,12 +53,12 @@
 
     /** Records the time from the arrival of a request to its first token, in microseconds. */
     public void firstTokenLatency(String tier, long us) {
-        firstTokenLatencyByTier.computeIfAbsent(tier, t -> Latency.create()).recordUs(us);
+        firstTokenLatencyByTier.computeIfAbsent(tier, t -> LatencyHistogram.create()).recordUs(us);
     }
 
     /** Records the time between two consecutive tokens of a response, in microseconds. */
     public void interTokenLatency(String tier, long us) {
-        interTokenLatencyByTier.computeIfAbsent(tier, t -> Latency.create()).recordUs(us);
+        interTokenLatencyByTier.computeIfAbsent(tier, t -> LatencyHistogram.create()).recordUs(us);
     }
 
     /**
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterNode.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterNode.java
@@ -40,7 +40,7 @@
 import org.onyxhinge.wire.MonotonicClock;
 import org.onyxhinge.wire.kv.KvClient;
 import org.onyxhinge.wire.kv.KvKeys;
-import org.onyxhinge.wire.kv.LeaseKeeper;
+import org.onyxhinge.wire.kv.LeasedKey;
 import org.onyxhinge.wire.peer.PeerMessage;
 
 /**
@@ -80,7 +80,7 @@
     private long nextPreemptionId = 1;
     private long tickTimer = -1;
     private HttpServer adminServer;
-    private LeaseKeeper membership;
+    private LeasedKey membership;
     private volatile boolean draining;
 
     private RouterNode(RouterSettings settings, Vertx vertx) {
@@ -155,7 +155,7 @@
     /** Registers this router in the key-value service, where operators look up the routers. */
     private void register() {
         String address = settings.advertiseHost() + ":" + settings.httpPort();
-        membership = LeaseKeeper.hold(
+        membership = LeasedKey.hold(
                 vertx,
                 kv,
                 KvKeys.ROUTERS + settings.routerId(),
@@ -238,12 +238,12 @@
         switch (message) {
             case PeerMessage.Hello h -> engineConnected(h);
             case PeerMessage.Load l -> execute(scheduler.engineReported(l.toReport(engineId), MonotonicClock.nowMs()));
-            case PeerMessage.Bye b -> {
+            case PeerMessage.AgentLeaving b -> {
                 LOG.infof("engine leaving engine=%s", engineId);
                 scheduler.engineDraining(engineId);
             }
-            case PeerMessage.Yield y -> preemptForOtherRouter(engineId, y);
-            case PeerMessage.RoomReply r -> {
+            case PeerMessage.PreemptCommand y -> preemptForOtherRouter(engineId, y);
+            case PeerMessage.PreemptionReply r -> {
                 String requestId = pendingPreemptions.remove(r.askId());
                 if (requestId != null) {
                     execute(scheduler.preemptionAnswered(requestId, r.made(), MonotonicClock.nowMs()));
@@ -265,16 +265,16 @@
      * Handles a preemption request of another router: stops one of this router's lower-tier requests on the
      * engine, if there is one, and reports whether it did.
      */
-    private void preemptForOtherRouter(String engineId, PeerMessage.Yield y) {
+    private void preemptForOtherRouter(String engineId, PeerMessage.PreemptCommand y) {
         Optional<Action> stopped = scheduler.makeRoom(engineId, y.rank());
         stopped.ifPresent(a -> execute(List.of(a)));
-        agentConnections.send(engineId, new PeerMessage.Yielded(y.turnId(), stopped.isPresent()));
+        agentConnections.send(engineId, new PeerMessage.PreemptResult(y.turnId(), stopped.isPresent()));
     }
 
     private void requestPreemption(Action.RequestPreemption action) {
         long preemptionId = nextPreemptionId++;
-        PeerMessage.RoomRequest message =
-                new PeerMessage.RoomRequest(preemptionId, action.spec().tier().rank());
+        PeerMessage.PreemptionRequest message =
+                new PeerMessage.PreemptionRequest(preemptionId, action.spec().tier().rank());
         if (agentConnections.send(action.engineId(), message)) {
             pendingPreemptions.put(preemptionId, action.requestId());
         } else {
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/config/ConfigStore.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/config/ConfigStore.java
@@ -70,7 +70,7 @@
         }
 
         @Override
-        public void upTo(long revision) {
+        public void revisionReached(long revision) {
             publish(revision);
         }
     }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CrashQuarantine.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/CrashQuarantine.java
@@ -36,7 +36,7 @@
     private final Vertx vertx;
     private final TargetConnections connections;
     private final ForwardingMetrics metrics;
-    private final Consumer<PeerMessage.BetweenRouters> broadcast;
+    private final Consumer<PeerMessage.RouterToRouter> broadcast;
     private final Consumer<RequestFingerprint> quarantined;
 
     /**
@@ -49,7 +49,7 @@
             Vertx vertx,
             TargetConnections connections,
             ForwardingMetrics metrics,
-            Consumer<PeerMessage.BetweenRouters> broadcast,
+            Consumer<PeerMessage.RouterToRouter> broadcast,
             Consumer<RequestFingerprint> quarantined) {
         this.vertx = vertx;
         this.connections = connections;
@@ -117,7 +117,7 @@
     private void broadcastAnswered(RequestFingerprint request, long nowMs) {
         quarantine
                 .answeredAgoMs(request, nowMs)
-                .ifPresent(agoMs -> broadcast.accept(new PeerMessage.AnsweredWhole(request, agoMs)));
+                .ifPresent(agoMs -> broadcast.accept(new PeerMessage.SuspectCompleted(request, agoMs)));
     }
 
     private void onQuarantined(RequestFingerprint request, long nowMs) {
@@ -166,9 +166,9 @@
 
     private static PeerMessage.Crashes message(List<Crash> crashes) {
         long nowMs = MonotonicClock.nowMs();
-        List<PeerMessage.CrashedAgo> out = new ArrayList<>();
+        List<PeerMessage.CrashReport> out = new ArrayList<>();
         for (Crash c : crashes) {
-            out.add(new PeerMessage.CrashedAgo(c.request(), c.incarnation(), nowMs - c.atMs()));
+            out.add(new PeerMessage.CrashReport(c.request(), c.incarnation(), nowMs - c.atMs()));
         }
         return new PeerMessage.Crashes(out);
     }
@@ -182,7 +182,7 @@
     }
 
     /** Applies another router's report that a target returned a complete response to a request. */
-    void receive(PeerMessage.AnsweredWhole message) {
+    void receive(PeerMessage.SuspectCompleted message) {
         if (quarantine.answered(message.request(), MonotonicClock.nowMs() - message.agoMs())) {
             LOG.infof("request cleared by another router fingerprint=%s", message.request());
         }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Forwarder.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Forwarder.java
@@ -268,7 +268,7 @@
         pumpSoon();
     }
 
-    private void broadcast(PeerMessage.BetweenRouters message) {
+    private void broadcast(PeerMessage.RouterToRouter message) {
         peers.broadcast(message);
     }
 
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/ForwardingMetrics.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/ForwardingMetrics.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 import com.codahale.metrics.MetricRegistry;
-import org.onyxhinge.runtime.Latency;
+import org.onyxhinge.runtime.LatencyHistogram;
 
 /** Counters and latency distributions of forwarding, by route and outcome. */
 final class ForwardingMetrics {
 
     private final MetricRegistry registry;
-    private final Map<String, Latency> firstByte = new HashMap<>();
-    private final Map<String, Latency> completion = new HashMap<>();
+    private final Map<String, LatencyHistogram> firstByte = new HashMap<>();
+    private final Map<String, LatencyHistogram> completion = new HashMap<>();
 
     private ForwardingMetrics(MetricRegistry registry) {
         this.registry = registry;
@@ -37,9 +37,9 @@
         latency(completion, "whole." + route).recordUs(ms * 1_000);
     }
 
-    private Latency latency(Map<String, Latency> by, String name) {
+    private LatencyHistogram latency(Map<String, LatencyHistogram> by, String name) {
         return by.computeIfAbsent(name, n -> {
-            Latency latency = Latency.create();
+            LatencyHistogram latency = LatencyHistogram.create();
             registry.gauge(n, () -> latency::summary);
             return latency;
         });
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeerDelegate.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeerDelegate.java
@@ -130,14 +130,14 @@
     }
 
     @Override
-    public void onSlotsWanted(PeerMessage.SlotsWanted wanted) {
+    public void onSlotsWanted(PeerMessage.SlotDemand wanted) {
         placement.slotsWanted(wanted.routerId(), wanted.service(), wanted.waiting(), MonotonicClock.nowMs());
         onChange.run();
     }
 
     @Override
-    public List<PeerMessage.BetweenRouters> broadcastState() {
-        List<PeerMessage.BetweenRouters> out = new ArrayList<>();
+    public List<PeerMessage.RouterToRouter> broadcastState() {
+        List<PeerMessage.RouterToRouter> out = new ArrayList<>();
         PeerMessage.Crashes crashes = crashQuarantine.activeCrashes();
         if (!crashes.crashes().isEmpty()) {
             out.add(crashes);
@@ -161,7 +161,7 @@
     }
 
     @Override
-    public void onAnswered(PeerMessage.AnsweredWhole answered) {
+    public void onAnswered(PeerMessage.SuspectCompleted answered) {
         crashQuarantine.receive(answered);
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeerLink.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeerLink.java
@@ -135,7 +135,7 @@
      * @param life identifies the current start of this router
      * @param windows units that all routers let through in the quota window; sent with full messages only
      */
-    void send(String ownId, long life, State now, Supplier<Map<String, Long>> windows, long nowMs) {
+    void send(String ownId, long startId, State now, Supplier<Map<String, Long>> windows, long nowMs) {
         boolean due = PeerUpdateSchedule.isDue(now.news(), lastSent.news(), nowMs - lastSentAtMs);
         boolean totalsChanged = now.news().sameGroup() && !now.totals().equals(lastSent.totals());
         if (!sendFullState && !due && !totalsChanged) {
@@ -151,7 +151,7 @@
         }
         boolean accepted = connection.send(new PeerMessage.Usage(
                 ownId,
-                life,
+                startId,
                 sendFullState,
                 uses,
                 totals,
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeerUsageTracker.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeerUsageTracker.java
@@ -22,7 +22,7 @@
 
     /** State of one router. */
     private static final class PeerState {
-        private long life;
+        private long startId;
         private long lastMessageAtMs;
         private boolean markedSilent;
         private final Map<String, TargetUse> uses = new HashMap<>();
@@ -35,10 +35,10 @@
     /** Applies a message; returns the sender's complete current usage. */
     PeerMessage.Usage update(PeerMessage.Usage usage, long nowMs) {
         PeerState peer = routers.computeIfAbsent(usage.routerId(), id -> new PeerState());
-        if (usage.whole() || peer.life != usage.life()) {
+        if (usage.whole() || peer.startId != usage.startId()) {
             peer.uses.clear();
         }
-        peer.life = usage.life();
+        peer.startId = usage.startId();
         peer.lastMessageAtMs = nowMs;
         peer.markedSilent = false;
         usage.uses().forEach((id, use) -> {
@@ -50,7 +50,7 @@
         });
         return new PeerMessage.Usage(
                 usage.routerId(),
-                usage.life(),
+                usage.startId(),
                 true,
                 peer.uses,
                 usage.totals(),
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/RouterPeers.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/RouterPeers.java
@@ -47,7 +47,7 @@
 
     private final Vertx vertx;
     private final ForwardingSettings settings;
-    private final long life = ThreadLocalRandom.current().nextLong(1, Long.MAX_VALUE);
+    private final long startId = ThreadLocalRandom.current().nextLong(1, Long.MAX_VALUE);
     private final Delegate delegate;
     private final NetClient client;
     private final PeerTraffic traffic = new PeerTraffic();
@@ -94,16 +94,16 @@
         void onSlotReserved(String targetId);
 
         /** Called when a router of another group has waiting calls. */
-        void onSlotsWanted(PeerMessage.SlotsWanted wanted);
+        void onSlotsWanted(PeerMessage.SlotDemand wanted);
 
         /** Everything that all routers should know, for a router that may know none of it. */
-        List<PeerMessage.BetweenRouters> broadcastState();
+        List<PeerMessage.RouterToRouter> broadcastState();
 
         /** Called with targets that ended while they executed requests. */
         void onCrashes(PeerMessage.Crashes crashes);
 
         /** Called when a request no longer counts as a suspect. */
-        void onAnswered(PeerMessage.AnsweredWhole answered);
+        void onAnswered(PeerMessage.SuspectCompleted answered);
 
         /** Called with targets' rate limits. */
         void onTargetLimits(PeerMessage.TargetLimits limits);
@@ -188,9 +188,9 @@
         switch (message) {
             case PeerMessage.Usage usage -> usageReceived(usage);
             case PeerMessage.SlotReserved r -> delegate.onSlotReserved(r.targetId());
-            case PeerMessage.SlotsWanted w -> delegate.onSlotsWanted(w);
+            case PeerMessage.SlotDemand w -> delegate.onSlotsWanted(w);
             case PeerMessage.Crashes c -> delegate.onCrashes(c);
-            case PeerMessage.AnsweredWhole a -> delegate.onAnswered(a);
+            case PeerMessage.SuspectCompleted a -> delegate.onAnswered(a);
             case PeerMessage.TargetLimits l -> delegate.onTargetLimits(l);
             default ->
                 LOG.warnf(
@@ -205,7 +205,7 @@
         PeerLink link = links.get(usage.routerId());
         if (link != null) {
             link.resetDialDelay();
-            if (usage.whole()) {
+            if (usage.full()) {
                 link.reconnectIfStale(nowMs);
             }
         }
@@ -248,7 +248,7 @@
                 }
                 link.send(
                         settings.routerId(),
-                        life,
+                        startId,
                         new PeerLink.State(news.apply(id), totals),
                         delegate::windows,
                         nowMs);
@@ -258,11 +258,11 @@
         });
         delegate.slotsToBorrow()
                 .ifPresent(r -> sendBestEffort(
-                        r.router(), new PeerMessage.SlotsWanted(settings.routerId(), r.service(), r.waiting())));
+                        r.router(), new PeerMessage.SlotDemand(settings.routerId(), r.service(), r.waiting())));
     }
 
     /** Sends a message to every other router at once. */
-    void broadcast(PeerMessage.BetweenRouters message) {
+    void broadcast(PeerMessage.RouterToRouter message) {
         links.values().forEach(l -> l.sendReliably(message));
     }
 
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetRateLimits.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetRateLimits.java
@@ -17,14 +17,14 @@
 
     private final Placement placement;
     private final ForwardingMetrics metrics;
-    private final Consumer<PeerMessage.BetweenRouters> broadcast;
+    private final Consumer<PeerMessage.RouterToRouter> broadcast;
 
     /**
      * Creates an instance without limits.
      *
      * @param broadcast sends a message to every other router
      */
-    TargetRateLimits(Placement placement, ForwardingMetrics metrics, Consumer<PeerMessage.BetweenRouters> broadcast) {
+    TargetRateLimits(Placement placement, ForwardingMetrics metrics, Consumer<PeerMessage.RouterToRouter> broadcast) {
         this.placement = placement;
         this.metrics = metrics;
         this.broadcast = broadcast;
@@ -57,25 +57,25 @@
         if (placement.limitAdvertised(incarnation, perSecond, MonotonicClock.nowMs())) {
             metrics.event("targets.limited");
             LOG.infof("target limited incarnation=%s perSecond=%s", incarnation, perSecond);
-            broadcastChange(new PeerMessage.LimitedAgo(incarnation, true, perSecond, 0));
+            broadcastChange(new PeerMessage.LimitReport(incarnation, true, perSecond, 0));
         }
     }
 
     private void limitNotReported(String incarnation, long sentAtMs) {
         if (placement.limitNotAdvertised(incarnation, sentAtMs)) {
             LOG.infof("target limit over incarnation=%s", incarnation);
-            broadcastChange(new PeerMessage.LimitedAgo(incarnation, false, 0, MonotonicClock.nowMs() - sentAtMs));
+            broadcastChange(new PeerMessage.LimitReport(incarnation, false, 0, MonotonicClock.nowMs() - sentAtMs));
         }
     }
 
-    private void broadcastChange(PeerMessage.LimitedAgo change) {
+    private void broadcastChange(PeerMessage.LimitReport change) {
         broadcast.accept(new PeerMessage.TargetLimits(List.of(change)));
     }
 
     /** Applies limits reported to another router. */
     void receive(PeerMessage.TargetLimits message) {
         long nowMs = MonotonicClock.nowMs();
-        for (PeerMessage.LimitedAgo l : message.limits()) {
+        for (PeerMessage.LimitReport l : message.limits()) {
             long atMs = nowMs - l.agoMs();
             boolean changed = l.named()
                     ? placement.limitAdvertised(l.incarnation(), l.perSecond(), atMs)
@@ -92,7 +92,7 @@
     PeerMessage.TargetLimits activeLimits() {
         long nowMs = MonotonicClock.nowMs();
         return new PeerMessage.TargetLimits(placement.limits().stream()
-                .map(l -> new PeerMessage.LimitedAgo(l.incarnation(), true, l.perSecond(), nowMs - l.atMs()))
+                .map(l -> new PeerMessage.LimitReport(l.incarnation(), true, l.perSecond(), nowMs - l.atMs()))
                 .toList());
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/WorkspaceQuotas.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/WorkspaceQuotas.java
@@ -188,8 +188,8 @@
             }
             Long window = usage.windows().get(name);
             OptionalLong known = window == null ? OptionalLong.empty() : OptionalLong.of(window);
-            quota.heard(usage.routerId(), usage.life(), total, known, nowMs);
+            quota.heard(usage.routerId(), usage.startId(), total, known, nowMs);
         });
-        startIdByRouter.put(usage.routerId(), usage.life());
+        startIdByRouter.put(usage.routerId(), usage.startId());
     }
 }
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/peer/AgentConnections.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/peer/AgentConnections.java
@@ -109,7 +109,7 @@
     }
 
     @Override
-    public void upTo(long revision) {
+    public void revisionReached(long revision) {
         changedPools.forEach(this::selectAgents);
         changedPools.clear();
     }
--- a/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/RouterPeersTest.java
+++ b/onyxhinge-router/src/test/java/org/onyxhinge/router/forward/RouterPeersTest.java
@@ -47,11 +47,11 @@
         private final Set<String> borrowed = ConcurrentHashMap.newKeySet();
         private final Map<String, String> joined = new ConcurrentHashMap<>();
         private final AtomicReference<SlotRequest> slotRequest = new AtomicReference<>();
-        private final AtomicReference<PeerMessage.SlotsWanted> slotsWanted = new AtomicReference<>();
-        private final Set<PeerMessage.CrashedAgo> crashes = ConcurrentHashMap.newKeySet();
-        private final Set<PeerMessage.CrashedAgo> receivedCrashes = ConcurrentHashMap.newKeySet();
-        private final Set<PeerMessage.LimitedAgo> limits = ConcurrentHashMap.newKeySet();
-        private final Set<PeerMessage.LimitedAgo> receivedLimits = ConcurrentHashMap.newKeySet();
+        private final AtomicReference<PeerMessage.SlotDemand> slotsWanted = new AtomicReference<>();
+        private final Set<PeerMessage.CrashReport> crashes = ConcurrentHashMap.newKeySet();
+        private final Set<PeerMessage.CrashReport> receivedCrashes = ConcurrentHashMap.newKeySet();
+        private final Set<PeerMessage.LimitReport> limits = ConcurrentHashMap.newKeySet();
+        private final Set<PeerMessage.LimitReport> receivedLimits = ConcurrentHashMap.newKeySet();
         private final Set<RequestFingerprint> answeredRequests = ConcurrentHashMap.newKeySet();
         private volatile boolean near = true;
         private final Vertx ownVertx = Vertx.vertx();
@@ -124,12 +124,12 @@
         }
 
         @Override
-        public void onSlotsWanted(PeerMessage.SlotsWanted wanted) {
+        public void onSlotsWanted(PeerMessage.SlotDemand wanted) {
             slotsWanted.set(wanted);
         }
 
         @Override
-        public List<PeerMessage.BetweenRouters> broadcastState() {
+        public List<PeerMessage.RouterToRouter> broadcastState() {
             return List.of(
                     new PeerMessage.Crashes(List.copyOf(crashes)), new PeerMessage.TargetLimits(List.copyOf(limits)));
         }
@@ -145,7 +145,7 @@
         }
 
         @Override
-        public void onAnswered(PeerMessage.AnsweredWhole answered) {
+        public void onAnswered(PeerMessage.SuspectCompleted answered) {
             answeredRequests.add(answered.request());
         }
 
@@ -220,8 +220,8 @@
     /** Guards against a router that was not running at the time of a crash forwarding the request that caused it. */
     @Test
     void broadcastsCrashesAndSendsThemToNewRouters() {
-        PeerMessage.CrashedAgo first = new PeerMessage.CrashedAgo(new RequestFingerprint(1, 2), "t1", 10);
-        PeerMessage.CrashedAgo second = new PeerMessage.CrashedAgo(new RequestFingerprint(1, 2), "t2", 10);
+        PeerMessage.CrashReport first = new PeerMessage.CrashReport(new RequestFingerprint(1, 2), "t1", 10);
+        PeerMessage.CrashReport second = new PeerMessage.CrashReport(new RequestFingerprint(1, 2), "t2", 10);
         Router a = new Router("a");
         Router b = new Router("b");
         a.crashes.add(first);
@@ -230,7 +230,7 @@
         await(() -> b.receivedCrashes.contains(first));
         a.context.runOnContext(v -> a.peers.broadcast(new PeerMessage.Crashes(List.of(second))));
         await(() -> b.receivedCrashes.contains(second));
-        a.context.runOnContext(v -> a.peers.broadcast(new PeerMessage.AnsweredWhole(first.request(), 0)));
+        a.context.runOnContext(v -> a.peers.broadcast(new PeerMessage.SuspectCompleted(first.request(), 0)));
         await(() -> b.answeredRequests.contains(first.request()));
         a.stop();
         b.stop();
@@ -239,7 +239,7 @@
     /** Guards against a router that starts after a target reported its limit and goes on sending at full rate. */
     @Test
     void sendsTargetLimitsToNewRouters() {
-        PeerMessage.LimitedAgo limit = new PeerMessage.LimitedAgo("t1", true, 2.5, 10);
+        PeerMessage.LimitReport limit = new PeerMessage.LimitReport("t1", true, 2.5, 10);
         Router a = new Router("a");
         Router b = new Router("b");
         a.limits.add(limit);
@@ -297,7 +297,7 @@
         assertThat(a.joined.get("b"), is("here"));
         a.slotRequest.set(new SlotRequest("b", "writers", Map.of(2, 7)));
         await(() -> b.slotsWanted.get() != null);
-        assertThat(b.slotsWanted.get(), is(new PeerMessage.SlotsWanted("a", "writers", Map.of(2, 7))));
+        assertThat(b.slotsWanted.get(), is(new PeerMessage.SlotDemand("a", "writers", Map.of(2, 7))));
         a.uses.put("own", new TargetUse(1, 0));
         a.borrowed.add("lent");
         a.uses.put("lent", new TargetUse(1, 0));
--- a/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/Latency.java
+++ b/onyxhinge-runtime/src/main/java/org/onyxhinge/runtime/LatencyHistogram.java
@@ -8,7 +8,7 @@
  * A latency histogram in microseconds. It uses HdrHistogram's {@link Recorder}, so that recording on the
  * traffic threads is not blocked by the reader. Values up to one hour, three significant digits.
  */
-public final class Latency {
+public final class LatencyHistogram {
 
     private static final long MAX_VALUE_US = 3_600_000_000L;
     private static final int SIGNIFICANT_DIGITS = 3;
@@ -17,8 +17,8 @@
     private final Histogram total = new Histogram(MAX_VALUE_US, SIGNIFICANT_DIGITS);
 
     /** Creates an empty histogram. */
-    public static Latency create() {
-        return new Latency();
+    public static LatencyHistogram create() {
+        return new LatencyHistogram();
     }
 
     /** Records a value in microseconds, clamped to the supported range. */
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvMirror.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/KvMirror.java
@@ -37,7 +37,7 @@
         void deleted(String key);
 
         /** All changes up to {@code revision} have been reported. */
-        void upTo(long revision);
+        void revisionReached(long revision);
     }
 
     private KvMirror(Vertx vertx, KvStore kv, String prefix, Listener listener) {
@@ -68,7 +68,7 @@
             put(entry);
         }
         removed.forEach(this::delete);
-        listener.upTo(reply.revision());
+        listener.revisionReached(reply.revision());
         kv.watch(prefix, reply.revision(), this::applyEvent, this::load);
         firstLoad.tryComplete(reply.revision());
     }
@@ -79,7 +79,7 @@
         } else {
             put(event.entry());
         }
-        listener.upTo(event.revision());
+        listener.revisionReached(event.revision());
     }
 
     private void put(KvEntry entry) {
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/LeaseKeeper.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/kv/LeasedKey.java
@@ -12,9 +12,9 @@
  *
  * <p>Runs on the key-value client's context.
  */
-public final class LeaseKeeper implements AutoCloseable {
+public final class LeasedKey implements AutoCloseable {
 
-    private static final Logger LOG = Logger.getLogger(LeaseKeeper.class);
+    private static final Logger LOG = Logger.getLogger(LeasedKey.class);
     private static final long INITIAL_RETRY_MS = 50;
     private static final int KEEP_ALIVES_PER_TTL = 3;
 
@@ -30,7 +30,7 @@
     private long timerId = -1;
     private boolean closed;
 
-    private LeaseKeeper(Vertx vertx, KvStore kv, String key, byte[] value, long ttlMs) {
+    private LeasedKey(Vertx vertx, KvStore kv, String key, byte[] value, long ttlMs) {
         this.vertx = vertx;
         this.kv = kv;
         this.key = key;
@@ -39,11 +39,11 @@
     }
 
     /** Starts registering {@code key} with {@code value} and keeping its lease alive. */
-    public static LeaseKeeper hold(Vertx vertx, KvStore kv, String key, byte[] value, long ttlMs) {
-        return new LeaseKeeper(vertx, kv, key, value, ttlMs).start();
+    public static LeasedKey hold(Vertx vertx, KvStore kv, String key, byte[] value, long ttlMs) {
+        return new LeasedKey(vertx, kv, key, value, ttlMs).start();
     }
 
-    private LeaseKeeper start() {
+    private LeasedKey start() {
         register();
         timerId = vertx.setPeriodic(ttlMs / KEEP_ALIVES_PER_TTL, t -> sendKeepAlive());
         return this;
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerCodec.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerCodec.java
@@ -71,15 +71,15 @@
         switch (message) {
             case PeerMessage.Hello h -> writeHello(p, h);
             case PeerMessage.Load l -> writeLoad(p, l);
-            case PeerMessage.Bye b -> writeHeader(p, AGENT_LEAVING, 0);
+            case PeerMessage.AgentLeaving b -> writeHeader(p, AGENT_LEAVING, 0);
             case PeerMessage.Subscribe s -> writeHeader(p, SUBSCRIBE, 1).packString(s.routerId());
-            case PeerMessage.RoomRequest r ->
+            case PeerMessage.PreemptionRequest r ->
                 writeHeader(p, PREEMPTION_REQUEST, 2).packLong(r.askId()).packInt(r.rank());
-            case PeerMessage.Yield y ->
+            case PeerMessage.PreemptCommand y ->
                 writeHeader(p, PREEMPT_COMMAND, 2).packLong(y.turnId()).packInt(y.rank());
-            case PeerMessage.Yielded y ->
+            case PeerMessage.PreemptResult y ->
                 writeHeader(p, PREEMPT_RESULT, 2).packLong(y.turnId()).packBoolean(y.made());
-            case PeerMessage.RoomReply r ->
+            case PeerMessage.PreemptionReply r ->
                 writeHeader(p, PREEMPTION_REPLY, 2).packLong(r.askId()).packBoolean(r.made());
             case PeerMessage.OrderRequest o ->
                 writeHeader(p, ORDER_REQUEST, 4)
@@ -89,12 +89,12 @@
                         .packLong(o.order().fencingToken());
             case PeerMessage.Usage u -> writeUsage(p, u);
             case PeerMessage.SlotReserved r -> writeHeader(p, SLOT_RESERVED, 1).packString(r.targetId());
-            case PeerMessage.SlotsWanted w -> {
+            case PeerMessage.SlotDemand w -> {
                 writeHeader(p, SLOT_DEMAND, 3).packString(w.routerId()).packString(w.service());
                 writeCounts(p, w.waiting());
             }
             case PeerMessage.Crashes c -> writeCrashes(p, c);
-            case PeerMessage.AnsweredWhole a -> {
+            case PeerMessage.SuspectCompleted a -> {
                 writeHeader(p, SUSPECT_COMPLETED, 3);
                 writeFingerprint(p, a.request());
                 p.packLong(a.agoMs());
@@ -111,8 +111,8 @@
     private static void writeUsage(MessagePacker p, PeerMessage.Usage u) throws IOException {
         writeHeader(p, USAGE, USAGE_FIELDS)
                 .packString(u.routerId())
-                .packLong(u.life())
-                .packBoolean(u.whole());
+                .packLong(u.startId())
+                .packBoolean(u.full());
         p.packMapHeader(u.uses().size());
         for (Map.Entry<String, TargetUse> e : u.uses().entrySet()) {
             p.packString(e.getKey());
@@ -171,8 +171,8 @@
             requireFields(u, fields, USAGE_FIELDS);
         }
         String routerId = u.unpackString();
-        long life = u.unpackLong();
-        boolean whole = u.unpackBoolean();
+        long startId = u.unpackLong();
+        boolean full = u.unpackBoolean();
         Map<String, TargetUse> uses = new HashMap<>();
         for (int remaining = readMapSize(u); remaining > 0; remaining--) {
             String target = u.unpackString();
@@ -185,7 +185,7 @@
         Map<String, Long> windows = readUnits(u);
         Map<String, Map<Integer, Integer>> waiting = readWaiting(u);
         Map<String, ServiceRates> rates = fields == USAGE_FIELDS ? readRates(u) : Map.of();
-        return new PeerMessage.Usage(routerId, life, whole, uses, totals, windows, waiting, rates);
+        return new PeerMessage.Usage(routerId, startId, full, uses, totals, windows, waiting, rates);
     }
 
     private static Map<String, Map<Integer, Integer>> readWaiting(MessageUnpacker u) throws IOException {
@@ -240,18 +240,18 @@
             case LOAD -> readLoad(u, fields);
             case AGENT_LEAVING -> {
                 requireFields(u, fields, 0);
-                yield new PeerMessage.Bye();
+                yield new PeerMessage.AgentLeaving();
             }
             case SUBSCRIBE ->
                 new PeerMessage.Subscribe(requireFields(u, fields, 1).unpackString());
             case PREEMPTION_REQUEST ->
-                new PeerMessage.RoomRequest(requireFields(u, fields, 2).unpackLong(), u.unpackInt());
+                new PeerMessage.PreemptionRequest(requireFields(u, fields, 2).unpackLong(), u.unpackInt());
             case PREEMPT_COMMAND ->
-                new PeerMessage.Yield(requireFields(u, fields, 2).unpackLong(), u.unpackInt());
+                new PeerMessage.PreemptCommand(requireFields(u, fields, 2).unpackLong(), u.unpackInt());
             case PREEMPT_RESULT ->
-                new PeerMessage.Yielded(requireFields(u, fields, 2).unpackLong(), u.unpackBoolean());
+                new PeerMessage.PreemptResult(requireFields(u, fields, 2).unpackLong(), u.unpackBoolean());
             case PREEMPTION_REPLY ->
-                new PeerMessage.RoomReply(requireFields(u, fields, 2).unpackLong(), u.unpackBoolean());
+                new PeerMessage.PreemptionReply(requireFields(u, fields, 2).unpackLong(), u.unpackBoolean());
             case ORDER_REQUEST ->
                 new PeerMessage.OrderRequest(
                         requireFields(u, fields, 4).unpackLong(),
@@ -260,11 +260,11 @@
             case SLOT_RESERVED ->
                 new PeerMessage.SlotReserved(requireFields(u, fields, 1).unpackString());
             case SLOT_DEMAND ->
-                new PeerMessage.SlotsWanted(
+                new PeerMessage.SlotDemand(
                         requireFields(u, fields, 3).unpackString(), u.unpackString(), readCounts(u));
             case CRASHES -> readCrashes(u, fields);
             case SUSPECT_COMPLETED ->
-                new PeerMessage.AnsweredWhole(readFingerprint(requireFields(u, fields, 3)), u.unpackLong());
+                new PeerMessage.SuspectCompleted(readFingerprint(requireFields(u, fields, 3)), u.unpackLong());
             case TARGET_LIMITS -> readLimits(u, fields);
             case ORDER_REPLY ->
                 new PeerMessage.OrderReply(
@@ -321,7 +321,7 @@
 
     private static void writeCrashes(MessagePacker p, PeerMessage.Crashes c) throws IOException {
         writeHeader(p, CRASHES, 1).packArrayHeader(c.crashes().size());
-        for (PeerMessage.CrashedAgo crash : c.crashes()) {
+        for (PeerMessage.CrashReport crash : c.crashes()) {
             writeFingerprint(p, crash.request());
             p.packString(crash.incarnation()).packLong(crash.agoMs());
         }
@@ -332,17 +332,17 @@
         if (n > MAX_CRASHES) {
             throw new WireException("too many crash entries: " + n);
         }
-        List<PeerMessage.CrashedAgo> crashes = new ArrayList<>();
+        List<PeerMessage.CrashReport> crashes = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            crashes.add(new PeerMessage.CrashedAgo(readFingerprint(u), u.unpackString(), u.unpackLong()));
+            crashes.add(new PeerMessage.CrashReport(readFingerprint(u), u.unpackString(), u.unpackLong()));
         }
         return new PeerMessage.Crashes(crashes);
     }
 
     private static void writeLimits(MessagePacker p, PeerMessage.TargetLimits l) throws IOException {
         writeHeader(p, TARGET_LIMITS, 1).packArrayHeader(l.limits().size());
-        for (PeerMessage.LimitedAgo limit : l.limits()) {
-            p.packString(limit.incarnation()).packBoolean(limit.named());
+        for (PeerMessage.LimitReport limit : l.limits()) {
+            p.packString(limit.incarnation()).packBoolean(limit.advertised());
             p.packDouble(limit.perSecond()).packLong(limit.agoMs());
         }
     }
@@ -352,10 +352,10 @@
         if (n > MAX_LIMITS) {
             throw new WireException("too many target limit entries: " + n);
         }
-        List<PeerMessage.LimitedAgo> limits = new ArrayList<>();
+        List<PeerMessage.LimitReport> limits = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             limits.add(
-                    new PeerMessage.LimitedAgo(u.unpackString(), u.unpackBoolean(), u.unpackDouble(), u.unpackLong()));
+                    new PeerMessage.LimitReport(u.unpackString(), u.unpackBoolean(), u.unpackDouble(), u.unpackLong()));
         }
         return new PeerMessage.TargetLimits(limits);
     }
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerMessage.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerMessage.java
@@ -22,7 +22,7 @@
     sealed interface ToAgent extends PeerMessage {}
 
     /** A message from a router to another router. */
-    sealed interface BetweenRouters extends PeerMessage {}
+    sealed interface RouterToRouter extends PeerMessage {}
 
     /** A message from an agent to a router. */
     sealed interface ToRouter extends PeerMessage {}
@@ -41,7 +41,7 @@
      * @param askId id that the reply repeats
      * @param rank tier rank of the sender's request
      */
-    record RoomRequest(long askId, int rank) implements ToAgent {}
+    record PreemptionRequest(long askId, int rank) implements ToAgent {}
 
     /**
      * The router's reply to a preemption command.
@@ -49,7 +49,7 @@
      * @param turnId id of the command
      * @param made true if the router preempted a request
      */
-    record Yielded(long turnId, boolean made) implements ToAgent {}
+    record PreemptResult(long turnId, boolean made) implements ToAgent {}
 
     /**
      * An order to be executed by the target.
@@ -89,7 +89,7 @@
     }
 
     /** The agent is shutting down as planned; its engine accepts no new requests. */
-    record Bye() implements ToRouter {}
+    record AgentLeaving() implements ToRouter {}
 
     /**
      * Tells the router to preempt one of its requests on the engine, of a tier below {@code rank}, if it has one.
@@ -98,7 +98,7 @@
      * @param turnId id that the reply repeats
      * @param rank only requests of tiers with a higher rank number may be preempted
      */
-    record Yield(long turnId, int rank) implements ToRouter {}
+    record PreemptCommand(long turnId, int rank) implements ToRouter {}
 
     /**
      * The agent's reply to a preemption request.
@@ -106,7 +106,7 @@
      * @param askId id of the request
      * @param made true if another router preempted a request
      */
-    record RoomReply(long askId, boolean made) implements ToRouter {}
+    record PreemptionReply(long askId, boolean made) implements ToRouter {}
 
     /**
      * The reply to {@link OrderRequest}.
@@ -133,14 +133,14 @@
      */
     record Usage(
             String routerId,
-            long life,
-            boolean whole,
+            long startId,
+            boolean full,
             Map<String, TargetUse> uses,
             Map<String, Long> totals,
             Map<String, Long> windows,
             Map<String, Map<Integer, Integer>> waiting,
             Map<String, ServiceRates> rates)
-            implements BetweenRouters {
+            implements RouterToRouter {
 
         /** Copies the maps. */
         public Usage {
@@ -157,7 +157,7 @@
      *
      * @param targetId the target
      */
-    record SlotReserved(String targetId) implements BetweenRouters {}
+    record SlotReserved(String targetId) implements RouterToRouter {}
 
     /**
      * Requests slots from another group of routers, because the sender's own group has no free slot for its calls.
@@ -166,10 +166,10 @@
      * @param service the service of the queued calls
      * @param waiting number of queued calls, by precedence
      */
-    record SlotsWanted(String routerId, String service, Map<Integer, Integer> waiting) implements BetweenRouters {
+    record SlotDemand(String routerId, String service, Map<Integer, Integer> waiting) implements RouterToRouter {
 
         /** Copies the map. */
-        public SlotsWanted {
+        public SlotDemand {
             waiting = Map.copyOf(waiting);
         }
     }
@@ -179,7 +179,7 @@
      *
      * @param crashes one entry for each such request
      */
-    record Crashes(List<CrashedAgo> crashes) implements BetweenRouters {
+    record Crashes(List<CrashReport> crashes) implements RouterToRouter {
 
         /** Copies the list. */
         public Crashes {
@@ -194,7 +194,7 @@
      * @param incarnation incarnation of the target that crashed
      * @param agoMs time since the crash; a relative time, because the clocks of routers differ
      */
-    record CrashedAgo(RequestFingerprint request, String incarnation, long agoMs) {}
+    record CrashReport(RequestFingerprint request, String incarnation, long agoMs) {}
 
     /**
      * A request suspected of crashing targets was completed by a target.
@@ -202,14 +202,14 @@
      * @param request fingerprint of the request
      * @param agoMs time since its completion
      */
-    record AnsweredWhole(RequestFingerprint request, long agoMs) implements BetweenRouters {}
+    record SuspectCompleted(RequestFingerprint request, long agoMs) implements RouterToRouter {}
 
     /**
      * Changes of the rate limits that targets advertise in their responses.
      *
      * @param limits the changes, or all current limits
      */
-    record TargetLimits(List<LimitedAgo> limits) implements BetweenRouters {
+    record TargetLimits(List<LimitReport> limits) implements RouterToRouter {
 
         /** Copies the list. */
         public TargetLimits {
@@ -226,5 +226,5 @@
      * @param agoMs time since the limit was advertised or, without one, since the call with that response was sent;
      *     a relative time, because the clocks of routers differ
      */
-    record LimitedAgo(String incarnation, boolean named, double perSecond, long agoMs) {}
+    record LimitReport(String incarnation, boolean advertised, double perSecond, long agoMs) {}
 }
--- a/onyxhinge-wire/src/test/java/org/onyxhinge/wire/DecoderProperties.java
+++ b/onyxhinge-wire/src/test/java/org/onyxhinge/wire/DecoderProperties.java
@@ -67,11 +67,11 @@
             @ForAll OrderStatus status) {
         for (PeerMessage m : List.of(
                 new PeerMessage.Subscribe("r1"),
-                new PeerMessage.Bye(),
-                new PeerMessage.RoomRequest(id, rank),
-                new PeerMessage.Yield(id, rank),
-                new PeerMessage.Yielded(id, made),
-                new PeerMessage.RoomReply(id, made),
+                new PeerMessage.AgentLeaving(),
+                new PeerMessage.PreemptionRequest(id, rank),
+                new PeerMessage.PreemptCommand(id, rank),
+                new PeerMessage.PreemptResult(id, made),
+                new PeerMessage.PreemptionReply(id, made),
                 new PeerMessage.OrderRequest(id, new Order(kind, "v2", 1 + Math.abs(rank / 2))),
                 new PeerMessage.OrderReply(id, status, "detail"))) {
             assertThat(PeerCodec.decode(PeerCodec.encode(m)), equalTo(m));
@@ -80,33 +80,33 @@
 
     @Property(tries = 300, seed = "14")
     void routerToRouterMessagesRoundTrip(
-            @ForAll @Size(max = 20) Map<String, Long> units, @ForAll long life, @ForAll boolean whole) {
-        Map<String, TargetUse> uses = Map.of("w1", new TargetUse(3, life), "w2", new TargetUse(0, 0));
+            @ForAll @Size(max = 20) Map<String, Long> units, @ForAll long startId, @ForAll boolean full) {
+        Map<String, TargetUse> uses = Map.of("w1", new TargetUse(3, startId), "w2", new TargetUse(0, 0));
         Map<String, Map<Integer, Integer>> waiting = Map.of("writers", Map.of(0, 3, 1_002, 40), "mailroom", Map.of());
         Map<String, ServiceRates> rates = Map.of("writers", new ServiceRates(6.25, Map.of(0, 0.5, 1_002, 41.0)));
-        PeerMessage.Usage usage = new PeerMessage.Usage("r1", life, whole, uses, units, Map.of(), waiting, rates);
+        PeerMessage.Usage usage = new PeerMessage.Usage("r1", startId, full, uses, units, Map.of(), waiting, rates);
         assertThat(PeerCodec.decode(PeerCodec.encode(usage)), equalTo(usage));
         PeerMessage.SlotReserved reserved = new PeerMessage.SlotReserved("w1");
         assertThat(PeerCodec.decode(PeerCodec.encode(reserved)), equalTo(reserved));
-        PeerMessage.SlotsWanted wanted = new PeerMessage.SlotsWanted("r1", "writers", Map.of(2, 7, 5, 1));
+        PeerMessage.SlotDemand wanted = new PeerMessage.SlotDemand("r1", "writers", Map.of(2, 7, 5, 1));
         assertThat(PeerCodec.decode(PeerCodec.encode(wanted)), equalTo(wanted));
-        PeerMessage.Crashes crashes = crashes(life);
+        PeerMessage.Crashes crashes = crashes(startId);
         assertThat(PeerCodec.decode(PeerCodec.encode(crashes)), equalTo(crashes));
-        PeerMessage.TargetLimits limits = limits(life);
+        PeerMessage.TargetLimits limits = limits(startId);
         assertThat(PeerCodec.decode(PeerCodec.encode(limits)), equalTo(limits));
-        PeerMessage.AnsweredWhole answered = new PeerMessage.AnsweredWhole(new RequestFingerprint(life, 2), life);
+        PeerMessage.SuspectCompleted answered = new PeerMessage.SuspectCompleted(new RequestFingerprint(startId, 2), startId);
         assertThat(PeerCodec.decode(PeerCodec.encode(answered)), equalTo(answered));
     }
 
     private static PeerMessage.TargetLimits limits(long number) {
         return new PeerMessage.TargetLimits(List.of(
-                new PeerMessage.LimitedAgo("w1@7", true, 2.4, number), new PeerMessage.LimitedAgo("w2", false, 0, 7)));
+                new PeerMessage.LimitReport("w1@7", true, 2.4, number), new PeerMessage.LimitReport("w2", false, 0, 7)));
     }
 
     private static PeerMessage.Crashes crashes(long number) {
         RequestFingerprint request = new RequestFingerprint(number, -number);
         return new PeerMessage.Crashes(List.of(
-                new PeerMessage.CrashedAgo(request, "w1@7", 90), new PeerMessage.CrashedAgo(request, "w2", number)));
+                new PeerMessage.CrashReport(request, "w1@7", 90), new PeerMessage.CrashReport(request, "w2", number)));
     }
 
     /** Corrupts one byte of a valid message, which reaches more of the decoder than random bytes do. */
