--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/ToolsMain.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/ToolsMain.java
@@ -15,7 +15,7 @@
 import org.onyxhinge.tools.standin.ServiceCommand;
 import org.onyxhinge.tools.standin.VmListCommand;
 
-/** Entry point of the tools: stand-ins, demo, load. Run with {@code --help} for the commands. */
+/** Command-line entry point of the tools: stand-ins, demo and load. Run with {@code --help} for the commands. */
 @Cli(
         name = "onyxhinge-tools",
         description = "onyxhinge tools: platform stand-ins, the embedded demo, the load tool",
@@ -28,18 +28,17 @@
                     commands = {CompareCommand.class, SimulateCommand.class}),
             @Group(
                     name = "capacity",
-                    description = "Measure what docs/CAPACITY.md is worked out from",
+                    description = "Measure the figures that docs/CAPACITY.md is based on",
                     commands = {DecisionsCommand.class, FootprintCommand.class}),
             @Group(
                     name = "standin",
-                    description = "Run one stand-in of the platform as its own process",
+                    description = "Run a platform stand-in as a separate process",
                     commands = {KvCommand.class, EngineCommand.class, ServiceCommand.class, VmListCommand.class})
         })
 public final class ToolsMain {
 
     private ToolsMain() {}
 
-    /** Parses the command line and runs the command. */
     public static void main(String[] args) {
         com.github.rvesse.airline.Cli<Runnable> cli = new com.github.rvesse.airline.Cli<>(ToolsMain.class);
         Runnable command;
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/demo/DemoCommand.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/demo/DemoCommand.java
@@ -20,9 +20,9 @@
 import org.onyxhinge.tools.load.Workload;
 
 /**
- * {@code demo}: the main job end to end on one machine. Starts the embedded site of a deployment
- * folder ({@code deployment.ini}, {@code setup.ini}, {@code workload.jsonl}), sends the workload, and
- * prints goodput by tier, refusals, wasted prefill and the router's added latency.
+ * {@code demo}: runs a sample deployment end to end on one machine. Starts the embedded site that a deployment folder
+ * ({@code deployment.ini}, {@code setup.ini}, {@code workload.jsonl}) describes, sends the workload, and prints goodput
+ * by tier, refusals, wasted prefill and the latency that the router adds.
  */
 @Command(name = "demo", description = "Run a sample deployment end to end on this machine and print a summary")
 public final class DemoCommand implements Runnable {
@@ -42,7 +42,7 @@
     public void run() {
         Logs.setUp("demo", logLevel);
         Path dir = Path.of(deployment);
-        var targets = Settings.load(dir.resolve("deployment.ini")).flatMap(Deployment::read);
+        var targets = Settings.load(dir.resolve("deployment.ini")).flatMap(DeploymentFile::read);
         var setup = Settings.load(dir.resolve("setup.ini")).flatMap(SetupFile::read);
         if (targets.isLeft() || setup.isLeft()) {
             Launch.fail(Launch.EXIT_SETTINGS, (targets.isLeft() ? targets.getLeft() : setup.getLeft()).getMessage());
@@ -58,10 +58,10 @@
         System.out.println(report(targets.get(), setup.get(), items).encodePrettily());
     }
 
-    /** Runs a deployment and returns its report; used by the command and by tests. */
+    /** Sends {@code items} to an embedded site, prints a table by tier and returns the report. */
     public static JsonObject report(List<Target> targets, List<Message> setup, List<WorkItem> items) {
-        try (Embedded site = Embedded.start(targets, setup, Embedded.Options.defaults());
-                Driver driver = Driver.balanced(site.platform(), "127.0.0.1", site.httpPorts(), 60_000)) {
+        try (EmbeddedSite site = EmbeddedSite.start(targets, setup, EmbeddedSite.Options.defaults());
+                Driver driver = Driver.roundRobin(site.vertx(), "127.0.0.1", site.httpPorts(), 60_000)) {
             List<Outcome> outcomes = Launch.await(driver.run(items), RUN_TIMEOUT_MS);
             List<TierSummary> byTier = Summary.byTier(outcomes, Summary.budgets(setup));
             System.out.print(Summary.table(byTier));
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/demo/Deployment.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/demo/DeploymentFile.java
@@ -8,14 +8,14 @@
 import org.onyxhinge.runtime.SettingsException;
 
 /**
- * A deployment file (INI): sections {@code [engine NAME]} and {@code [service NAME]} describing the
- * stand-in targets of a small site. See {@code examples/postvirki/deployment.ini}.
+ * Parser of deployment files (INI). Sections {@code [engine NAME]} and {@code [service NAME]} describe the stand-in
+ * targets of an embedded site. See {@code examples/postvirki/deployment.ini}.
  */
-public final class Deployment {
+public final class DeploymentFile {
 
-    private Deployment() {}
+    private DeploymentFile() {}
 
-    /** Reads the targets; the left side names every bad key. */
+    /** Returns the targets, or an exception that lists every invalid key. */
     public static Either<SettingsException, List<Target>> read(Settings s) {
         List<Target> out = new ArrayList<>();
         for (String section : s.sections()) {
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/demo/Embedded.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/demo/EmbeddedSite.java
@@ -24,87 +24,87 @@
 import org.onyxhinge.standins.service.PlainServiceStandIn;
 
 /**
- * A whole small site in one JVM, each part on its own Vert.x instance and talking over loopback TCP as
- * separate processes would: the key-value stand-in, the target stand-ins, one agent per target, and
- * one or more routers. Closing it stops the router and agents with a planned stop, then the stand-ins.
+ * A small site in a single JVM: the key-value stand-in, the target stand-ins, one agent per target, and one or more
+ * routers. Components communicate over loopback TCP, as separate processes would. The stand-ins share a Vert.x
+ * instance; each router and agent has its own. {@link #close} drains the routers and agents, then stops the stand-ins.
  */
-public final class Embedded implements AutoCloseable {
+public final class EmbeddedSite implements AutoCloseable {
 
-    private static final long START_MS = 60_000;
-    private static final long WAIT_POLL_MS = 50;
+    private static final long START_TIMEOUT_MS = 60_000;
+    private static final long POLL_INTERVAL_MS = 50;
 
-    private final Vertx platform = Vertx.vertx();
+    private final Vertx vertx = Vertx.vertx();
     private final List<AgentNode> agents = new ArrayList<>();
     private final List<Integer> enginePorts = new ArrayList<>();
     private KvStandIn kv;
     private final List<RouterNode> routers = new ArrayList<>();
 
-    private Embedded() {}
+    private EmbeddedSite() {}
 
     /**
-     * What may vary between embedded sites.
+     * Options of an embedded site.
      *
-     * @param routers how many routers
-     * @param policy their routing policy
-     * @param headroomPercent room lower tiers leave for higher ones, see {@code SchedulerSettings}
+     * @param routers number of routers
+     * @param policy routing policy of all routers
+     * @param headroomPercent capacity that lower tiers leave free for higher ones, see {@code SchedulerSettings}
      */
     public record Options(int routers, RoutingPolicy policy, int headroomPercent) {
 
-        /** The same with another policy. */
-        public Options with(RoutingPolicy other) {
+        /** Returns a copy of these options with the given policy. */
+        public Options withPolicy(RoutingPolicy other) {
             return new Options(routers, other, headroomPercent);
         }
 
-        /** One router with the product's own policy. */
+        /** Returns options for one router with the default scheduler settings. */
         public static Options defaults() {
             SchedulerSettings defaults = SchedulerSettings.defaults();
             return new Options(1, defaults.policy(), defaults.headroomPercent());
         }
     }
 
-    /** Starts everything and applies the setup; returns once every router sees every target. */
-    public static Embedded start(List<Target> targets, List<Message> setup, Options options) {
-        Embedded e = new Embedded();
-        e.kv = Launch.await(KvStandIn.start(e.platform, "127.0.0.1", 0, 1), START_MS);
+    /** Starts all components, applies the setup and waits until every router sees every target. */
+    public static EmbeddedSite start(List<Target> targets, List<Message> setup, Options options) {
+        EmbeddedSite site = new EmbeddedSite();
+        site.kv = Launch.await(KvStandIn.start(site.vertx, "127.0.0.1", 0, 1), START_TIMEOUT_MS);
         for (int i = 1; i <= options.routers(); i++) {
-            RouterSettings settings = routerSettings("r" + i, e.kv.port(), options);
-            e.routers.add(Launch.await(RouterNode.start(settings), START_MS));
+            RouterSettings settings = routerSettings("r" + i, site.kv.port(), options);
+            site.routers.add(Launch.await(RouterNode.start(settings), START_TIMEOUT_MS));
         }
         for (Target t : targets) {
-            int port = e.startTarget(t);
-            e.agents.add(Launch.await(AgentNode.start(agentSettings(t, port, e.kv.port())), START_MS));
+            int port = site.startTarget(t);
+            site.agents.add(Launch.await(AgentNode.start(agentSettings(t, port, site.kv.port())), START_TIMEOUT_MS));
         }
         try (AdminClient admin = AdminClient.create(
-                e.platform, "127.0.0.1", e.router().settings().adminPort())) {
-            Launch.await(admin.apply(setup), START_MS);
+                site.vertx, "127.0.0.1", site.router().settings().adminPort())) {
+            Launch.await(admin.apply(setup), START_TIMEOUT_MS);
         }
-        e.awaitEngines(targets.size());
-        return e;
+        site.awaitTargets(targets.size());
+        return site;
     }
 
-    /** The first router, for its metrics and dump. */
+    /** Returns the first router, to read its metrics and state. */
     public RouterNode router() {
         return routers.get(0);
     }
 
-    /** The callers' HTTP port of every router. */
+    /** Returns the HTTP port for callers of each router. */
     public List<Integer> httpPorts() {
         return routers.stream().map(r -> r.settings().httpPort()).toList();
     }
 
-    /** The engine stand-ins' ports, for their exact statistics. */
+    /** Returns the ports of the engine stand-ins, to read their exact statistics. */
     public List<Integer> enginePorts() {
         return enginePorts;
     }
 
-    /** The Vert.x instance of the stand-ins, also usable by drivers. */
-    public Vertx platform() {
-        return platform;
+    /** Returns the Vert.x instance of the stand-ins, which drivers may share. */
+    public Vertx vertx() {
+        return vertx;
     }
 
     private int startTarget(Target t) {
         if (t.plain()) {
-            return Launch.await(PlainServiceStandIn.start(platform, "127.0.0.1", 0, t.latencyMs()), START_MS)
+            return Launch.await(PlainServiceStandIn.start(vertx, "127.0.0.1", 0, t.latencyMs()), START_TIMEOUT_MS)
                     .port();
         }
         EngineSpec spec = new EngineSpec(
@@ -115,25 +115,25 @@
                 t.cachePrefixes(),
                 t.loadLagMs(),
                 false);
-        int port = Launch.await(EngineStandIn.start(platform, "127.0.0.1", 0, spec), START_MS)
+        int port = Launch.await(EngineStandIn.start(vertx, "127.0.0.1", 0, spec), START_TIMEOUT_MS)
                 .port();
         enginePorts.add(port);
         return port;
     }
 
-    private void awaitEngines(int count) {
-        long until = System.currentTimeMillis() + START_MS;
+    private void awaitTargets(int count) {
+        long until = System.currentTimeMillis() + START_TIMEOUT_MS;
         while (System.currentTimeMillis() < until) {
-            if (routers.stream().allMatch(r -> enginesSeen(r) >= count)) {
+            if (routers.stream().allMatch(r -> visibleTargets(r) >= count)) {
                 return;
             }
-            sleep(WAIT_POLL_MS);
+            sleep(POLL_INTERVAL_MS);
         }
-        throw new IllegalStateException("routers did not see " + count + " targets in time");
+        throw new IllegalStateException("timed out waiting for every router to see " + count + " targets");
     }
 
-    private static int enginesSeen(RouterNode router) {
-        return Launch.await(router.dump(), START_MS)
+    private static int visibleTargets(RouterNode router) {
+        return Launch.await(router.dump(), START_TIMEOUT_MS)
                 .getJsonObject("scheduler", new JsonObject())
                 .getJsonArray("engines", new JsonArray())
                 .size();
@@ -197,8 +197,8 @@
         List<Future<Void>> stops = new ArrayList<>();
         routers.forEach(r -> stops.add(r.drain()));
         agents.forEach(a -> stops.add(a.drain()));
-        Launch.await(Future.join(stops).mapEmpty(), START_MS);
+        Launch.await(Future.join(stops).mapEmpty(), START_TIMEOUT_MS);
         kv.close();
-        Launch.await(platform.close(), START_MS);
+        Launch.await(vertx.close(), START_TIMEOUT_MS);
     }
 }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/demo/EngineStats.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/demo/EngineStats.java
@@ -4,14 +4,14 @@
 import io.vertx.core.json.JsonObject;
 import org.onyxhinge.runtime.Launch;
 
-/** Reads the engine stand-ins' exact counters (wasted prefill among them) and adds them up. */
+/** Aggregates the exact counters of the engine stand-ins, including wasted prefill. */
 public final class EngineStats {
 
     private EngineStats() {}
 
-    /** The sums over every engine of the site. */
-    public static JsonObject collect(Embedded site) {
-        var http = site.platform().createHttpClient();
+    /** Returns the counters summed over all engines of the site. */
+    public static JsonObject collect(EmbeddedSite site) {
+        var http = site.vertx().createHttpClient();
         long computed = 0;
         long wasted = 0;
         long completed = 0;
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/demo/Target.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/demo/Target.java
@@ -4,14 +4,14 @@
  * One target of a deployment file: a model engine stand-in or a plain service stand-in.
  *
  * @param name target id
- * @param pool pool it serves
- * @param plain true for a plain service
- * @param maxBatch sequences (or calls) at once
- * @param prefillTokensPerSecond prompt rate
- * @param decodeTokensPerSecond per-sequence token rate
- * @param cachePrefixes prefixes cached
- * @param loadLagMs age of its published load
- * @param latencyMs time per call, for a plain service
+ * @param pool pool that the target serves
+ * @param plain true for a plain service, false for a model engine
+ * @param maxBatch maximum number of concurrent sequences or calls
+ * @param prefillTokensPerSecond prefill rate
+ * @param decodeTokensPerSecond decode rate of each sequence
+ * @param cachePrefixes capacity of the prefix cache, in prefixes
+ * @param loadLagMs age of the published load report
+ * @param latencyMs service time of a call, for a plain service
  */
 public record Target(
         String name,
@@ -24,10 +24,10 @@
         long loadLagMs,
         long latencyMs) {
 
-    /** The same target under another name. */
-    public Target named(String other) {
+    /** Returns a copy of this target with the given name. */
+    public Target withName(String newName) {
         return new Target(
-                other,
+                newName,
                 pool,
                 plain,
                 maxBatch,
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/demo/package-info.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/demo/package-info.java
@@ -1,2 +1,2 @@
-/** The embedded default: every process of a small site on one machine, and the demo that drives it. */
+/** A small site embedded in a single JVM, and the demo command that sends a workload to it. */
 package org.onyxhinge.tools.demo;
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/experiment/CompareCommand.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/experiment/CompareCommand.java
@@ -17,15 +17,15 @@
 import org.onyxhinge.runtime.Launch;
 import org.onyxhinge.runtime.Logs;
 import org.onyxhinge.runtime.Settings;
-import org.onyxhinge.tools.demo.Deployment;
-import org.onyxhinge.tools.demo.Embedded;
+import org.onyxhinge.tools.demo.DeploymentFile;
+import org.onyxhinge.tools.demo.EmbeddedSite;
 import org.onyxhinge.tools.demo.Target;
 import org.onyxhinge.tools.load.Workload;
 
 /**
- * {@code load compare}: the product's policy beside the baselines, on the same synthetic workload drawn
- * from a deployment's sample, at several loads and under several scenarios. Writes {@code
- * comparison.csv} and {@code comparison.png}.
+ * {@code load compare}: compares the default routing policy with baseline policies. All policies run on the same
+ * synthetic workload, sampled from the workload of a deployment, at several loads and under several scenarios. Writes
+ * {@code comparison.csv} and {@code comparison.png}.
  */
 @Command(name = "compare", description = "Compare routing policies under load on an embedded site")
 public final class CompareCommand implements Runnable {
@@ -42,7 +42,7 @@
             description = "deployment folder (default examples/postvirki)")
     private String deployment = "examples/postvirki";
 
-    @Option(name = "--loads", title = "LIST", description = "offered load over capacity (default 1,2)")
+    @Option(name = "--loads", title = "LIST", description = "ratios of offered load to capacity (default 1,2)")
     private String loads = "1,2";
 
     @Option(name = "--scenarios", title = "LIST", description = "steady, burst, slowdown (default all)")
@@ -51,22 +51,22 @@
     @Option(name = "--policies", title = "LIST", description = "routing policies (default all)")
     private String policies = String.join(",", RoutingPolicy.settingNames());
 
-    @Option(name = "--seconds", title = "N", description = "length of one run (default 20)")
+    @Option(name = "--seconds", title = "N", description = "duration of a run (default 20)")
     private int seconds = 20;
 
     @Option(name = "--copies", title = "N", description = "copies of each target of the deployment (default 1)")
     private int copies = 1;
 
-    @Option(name = "--routers", title = "N", description = "routers of the site (default 1)")
+    @Option(name = "--routers", title = "N", description = "number of routers (default 1)")
     private int routers = 1;
 
     @Option(name = "--headroom", title = "PERCENT", description = "headroom_percent of the routers (default 0)")
     private int headroomPercent = DEFAULTS.headroomPercent();
 
-    @Option(name = "--seed", title = "N", description = "seed of the workload (default 7)")
+    @Option(name = "--seed", title = "N", description = "random seed of the workload (default 7)")
     private long seed = 7;
 
-    @Option(name = "--out", title = "DIR", description = "where the report goes (default out/compare)")
+    @Option(name = "--out", title = "DIR", description = "output folder of the report (default out/compare)")
     private String out = "out/compare";
 
     @Override
@@ -78,58 +78,59 @@
                     .flatMap(SetupFile::read)
                     .getOrElseThrow(e -> new IllegalArgumentException(e.getMessage()));
             List<Target> targets = Settings.load(dir.resolve("deployment.ini"))
-                    .flatMap(Deployment::read)
+                    .flatMap(DeploymentFile::read)
                     .getOrElseThrow(e -> new IllegalArgumentException(e.getMessage()));
             Comparison comparison = new Comparison(
-                    copied(targets),
+                    replicateTargets(targets),
                     setup,
                     Workload.read(dir.resolve("workload.jsonl")),
-                    new Embedded.Options(within("--routers", routers, MAX_ROUTERS), DEFAULTS.policy(), headroomPercent),
-                    within("--seconds", seconds, MAX_SECONDS),
+                    new EmbeddedSite.Options(
+                            checkRange("--routers", routers, MAX_ROUTERS), DEFAULTS.policy(), headroomPercent),
+                    checkRange("--seconds", seconds, MAX_SECONDS),
                     seed);
-            report(comparison.run(cells()));
+            report(comparison.run(specs()));
         } catch (IOException | IllegalArgumentException e) {
             Launch.fail(Launch.EXIT_USAGE, e.getMessage());
         }
     }
 
-    private void report(List<CellResult> results) throws IOException {
+    private void report(List<RunResult> results) throws IOException {
         Path dir = Files.createDirectories(Path.of(out));
         ComparisonCsv.write(dir.resolve("comparison.csv"), results);
         ComparisonPlot.write(dir.resolve("comparison.png"), results);
         System.out.printf("%nwrote %s and %s%n", dir.resolve("comparison.csv"), dir.resolve("comparison.png"));
     }
 
-    private List<Cell> cells() {
-        List<Cell> cells = new ArrayList<>();
-        for (Scenario scenario : parsed(
+    private List<RunSpec> specs() {
+        List<RunSpec> specs = new ArrayList<>();
+        for (Scenario scenario : parseList(
                 "--scenarios",
                 scenarios,
                 s -> Scenario.ofLabel(s)
-                        .orElseThrow(() -> new IllegalArgumentException("must be among " + Scenario.labels())))) {
-            for (double load : parsed("--loads", loads, CompareCommand::load)) {
-                for (RoutingPolicy policy : parsed(
+                        .orElseThrow(() -> new IllegalArgumentException("must be one of " + Scenario.labels())))) {
+            for (double load : parseList("--loads", loads, CompareCommand::parseLoad)) {
+                for (RoutingPolicy policy : parseList(
                         "--policies",
                         policies,
                         s -> RoutingPolicy.ofSetting(s)
                                 .orElseThrow(() -> new IllegalArgumentException(
-                                        "must be among " + RoutingPolicy.settingNames())))) {
-                    cells.add(new Cell(policy, scenario, load));
+                                        "must be one of " + RoutingPolicy.settingNames())))) {
+                    specs.add(new RunSpec(policy, scenario, load));
                 }
             }
         }
-        return cells;
+        return specs;
     }
 
-    private static double load(String text) {
+    private static double parseLoad(String text) {
         double load = Double.parseDouble(text);
         if (!(load > 0 && load <= MAX_LOAD)) {
-            throw new IllegalArgumentException("must be above 0 and at most " + MAX_LOAD);
+            throw new IllegalArgumentException("must be greater than 0 and at most " + MAX_LOAD);
         }
         return load;
     }
 
-    private static <T> List<T> parsed(String option, String list, Function<String, T> parse) {
+    private static <T> List<T> parseList(String option, String list, Function<String, T> parse) {
         try {
             return Arrays.stream(list.split(",")).map(String::trim).map(parse).toList();
         } catch (IllegalArgumentException e) {
@@ -137,18 +138,18 @@
         }
     }
 
-    private static int within(String option, int value, int most) {
-        if (value < 1 || value > most) {
-            throw new IllegalArgumentException(option + " must be 1.." + most);
+    private static int checkRange(String option, int value, int max) {
+        if (value < 1 || value > max) {
+            throw new IllegalArgumentException(option + " must be 1.." + max);
         }
         return value;
     }
 
-    private List<Target> copied(List<Target> targets) {
+    private List<Target> replicateTargets(List<Target> targets) {
         List<Target> all = new ArrayList<>();
-        for (int i = 1; i <= within("--copies", copies, MAX_COPIES); i++) {
+        for (int i = 1; i <= checkRange("--copies", copies, MAX_COPIES); i++) {
             for (Target t : targets) {
-                all.add(i == 1 ? t : t.named(t.name() + "-" + i));
+                all.add(i == 1 ? t : t.withName(t.name() + "-" + i));
             }
         }
         return all;
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/experiment/ComparisonCsv.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/experiment/ComparisonCsv.java
@@ -10,7 +10,7 @@
 import org.apache.commons.csv.CSVPrinter;
 import org.onyxhinge.tools.load.TierSummary;
 
-/** Writes a comparison as CSV: one row per run and tier; times in milliseconds, prefill in tokens. */
+/** Writes a comparison as CSV with one row per run and tier. Times are in milliseconds, prefill is in tokens. */
 final class ComparisonCsv {
 
     private static final CSVFormat FORMAT = CSVFormat.DEFAULT
@@ -36,15 +36,15 @@
 
     private ComparisonCsv() {}
 
-    static void write(Path file, List<CellResult> results) throws IOException {
+    static void write(Path file, List<RunResult> results) throws IOException {
         try (Writer w = Files.newBufferedWriter(file);
                 CSVPrinter csv = new CSVPrinter(w, FORMAT)) {
-            for (CellResult r : results) {
+            for (RunResult r : results) {
                 for (TierSummary t : r.tiers()) {
                     csv.printRecord(
-                            r.cell().policy().settingName(),
-                            r.cell().scenario().label(),
-                            r.cell().loadFactor(),
+                            r.spec().policy().settingName(),
+                            r.spec().scenario().label(),
+                            r.spec().loadFactor(),
                             t.tier(),
                             t.sent(),
                             t.whole(),
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/experiment/ComparisonPlot.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/experiment/ComparisonPlot.java
@@ -15,7 +15,7 @@
 import org.onyxhinge.core.schedule.RoutingPolicy;
 import org.onyxhinge.tools.load.TierSummary;
 
-/** Draws a comparison as PNG: for each run's conditions, goodput by tier and wasted prefill per policy. */
+/** Plots a comparison as PNG: goodput by tier and wasted prefill of each policy, per scenario and load. */
 final class ComparisonPlot {
 
     private static final int WIDTH_PX = 900;
@@ -24,18 +24,17 @@
 
     private ComparisonPlot() {}
 
-    /** Writes one chart per scenario and load beside {@code file}, all in one picture. */
-    static void write(Path file, List<CellResult> results) throws IOException {
-        Map<String, List<CellResult>> byConditions = new LinkedHashMap<>();
-        results.forEach(r -> byConditions
-                .computeIfAbsent(r.cell().label(), l -> new ArrayList<>())
+    /** Writes an image with one chart per scenario and load to {@code file}. */
+    static void write(Path file, List<RunResult> results) throws IOException {
+        Map<String, List<RunResult>> byLabel = new LinkedHashMap<>();
+        results.forEach(r -> byLabel.computeIfAbsent(r.spec().label(), l -> new ArrayList<>())
                 .add(r));
         List<CategoryChart> charts = new ArrayList<>();
-        byConditions.forEach((label, rs) -> charts.add(chart(label, rs)));
+        byLabel.forEach((label, rs) -> charts.add(chart(label, rs)));
         BitmapEncoder.saveBitmap(charts, charts.size(), 1, file.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 
-    private static CategoryChart chart(String label, List<CellResult> results) {
+    private static CategoryChart chart(String label, List<RunResult> results) {
         CategoryChart chart = new CategoryChartBuilder()
                 .width(WIDTH_PX)
                 .height(HEIGHT_PX)
@@ -47,7 +46,7 @@
         chart.getStyler().setLabelsVisible(true);
         chart.getStyler().setDecimalPattern("0.#");
         chart.getStyler().setChartBackgroundColor(Color.WHITE);
-        for (CellResult r : results) {
+        for (RunResult r : results) {
             List<String> names = new ArrayList<>();
             List<Double> values = new ArrayList<>();
             for (TierSummary t : r.tiers()) {
@@ -55,13 +54,13 @@
                 values.add(PERCENT * t.goodput());
             }
             names.add("wasted prefill");
-            values.add(PERCENT * r.wastedShare());
-            chart.addSeries(name(r.cell().policy()), names, values);
+            values.add(PERCENT * r.wastedFraction());
+            chart.addSeries(displayName(r.spec().policy()), names, values);
         }
         return chart;
     }
 
-    private static String name(RoutingPolicy policy) {
+    private static String displayName(RoutingPolicy policy) {
         return policy.settingName().replace('_', ' ');
     }
 }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/experiment/LoadGenerator.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/experiment/LoadGenerator.java
@@ -8,8 +8,8 @@
 import org.onyxhinge.tools.load.WorkItem;
 
 /**
- * Makes a synthetic workload by drawing requests from a sample workload, which keeps its tier mix and
- * its spread of sizes, at Poisson arrival times. The same seed gives the same workload.
+ * Generates a synthetic workload with Poisson arrivals. Requests are sampled with replacement from a sample workload,
+ * which preserves its tier mix and size distribution. The same seed produces the same workload.
  */
 final class LoadGenerator {
 
@@ -18,8 +18,8 @@
     private LoadGenerator() {}
 
     /**
-     * Requests a second of the sample's mix that keep the engines exactly busy: the smaller of what
-     * their decoding and their prefill can carry. Plain services are not counted.
+     * Estimates the request rate, in the sample's mix, that saturates the engines: the lower of their decode and
+     * prefill throughput. Plain services are not counted.
      */
     static double capacityPerSecond(List<Target> targets, List<WorkItem> sample) {
         double decode = 0;
@@ -30,19 +30,20 @@
                 prefill += t.prefillTokensPerSecond();
             }
         }
-        double outTokens = 0;
+        double outputTokens = 0;
         double promptTokens = 0;
         for (WorkItem item : sample) {
             if (!item.plain()) {
-                outTokens += item.maxTokens();
-                promptTokens += item.briefWords() + item.askWords();
+                outputTokens += item.maxTokens();
+                promptTokens += item.systemPromptWords() + item.userPromptWords();
             }
         }
-        return Math.min(decode / (outTokens / sample.size()), prefill / (promptTokens / sample.size()));
+        return Math.min(decode / (outputTokens / sample.size()), prefill / (promptTokens / sample.size()));
     }
 
-    /** Draws {@code seconds} of requests at the phase's rate; keys are made unique. */
-    static List<WorkItem> draw(List<WorkItem> sample, double ratePerSecond, Scenario scenario, int seconds, long seed) {
+    /** Generates requests for {@code seconds} at the scenario's rate, with unique idempotency keys. */
+    static List<WorkItem> generate(
+            List<WorkItem> sample, double ratePerSecond, Scenario scenario, int seconds, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<WorkItem> out = new ArrayList<>();
         double atMs = 0;
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/experiment/package-info.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/experiment/package-info.java
@@ -1,2 +1,2 @@
-/** The experiment tool: routing policies side by side under load, with CSV and plots. */
+/** Experiment tool that compares routing policies under load and reports the results as CSV and plots. */
 package org.onyxhinge.tools.experiment;
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/Driver.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/Driver.java
@@ -18,20 +18,21 @@
 import io.vertx.core.parsetools.RecordParser;
 
 /**
- * Sends a workload to routers over loopback, each item at its time, and collects an {@link
- * Outcome} per item. Bounded: every item is sent once and waited for at most {@code timeoutMs}.
+ * Open-loop load generator that sends each workload item to a router at its scheduled time and collects an {@link
+ * Outcome} per item. Each item is sent once, without retries; a request that receives no data for {@code timeoutMs}
+ * fails.
  */
 public final class Driver implements AutoCloseable {
 
     private static final int NS_PER_MS = 1_000_000;
-    private static final int POOL = 1_024;
+    private static final int MAX_CONNECTIONS = 1_024;
 
     private final Vertx vertx;
     private final HttpClient http;
     private final String host;
     private final List<Integer> ports;
     private final long timeoutMs;
-    private int turn;
+    private int nextPortIndex;
 
     private Driver(Vertx vertx, String host, List<Integer> ports, long timeoutMs) {
         this.vertx = vertx;
@@ -39,20 +40,20 @@
         this.ports = List.copyOf(ports);
         this.timeoutMs = timeoutMs;
         this.http = vertx.createHttpClient(
-                new HttpClientOptions().setKeepAlive(true), new PoolOptions().setHttp1MaxSize(POOL));
+                new HttpClientOptions().setKeepAlive(true), new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS));
     }
 
-    /** Creates a driver for the router at {@code host:port}. */
+    /** Creates a driver that sends to the router at {@code host:port}. */
     public static Driver create(Vertx vertx, String host, int port, long timeoutMs) {
         return new Driver(vertx, host, List.of(port), timeoutMs);
     }
 
-    /** Creates a driver that sends to each of several routers in turn, as the platform's balancer does. */
-    public static Driver balanced(Vertx vertx, String host, List<Integer> ports, long timeoutMs) {
+    /** Creates a driver that sends to several routers in round-robin order, as the platform's load balancer does. */
+    public static Driver roundRobin(Vertx vertx, String host, List<Integer> ports, long timeoutMs) {
         return new Driver(vertx, host, ports, timeoutMs);
     }
 
-    /** Sends every item at its time; completes when all have answered or timed out. */
+    /** Sends each item at its scheduled time; completes when all items have an outcome. */
     public Future<List<Outcome>> run(List<WorkItem> items) {
         List<Future<Outcome>> all = new ArrayList<>();
         for (WorkItem item : items) {
@@ -67,7 +68,7 @@
         });
     }
 
-    /** Sends one item now. */
+    /** Sends an item immediately, regardless of its scheduled time. */
     public Future<Outcome> send(WorkItem item) {
         long startNs = System.nanoTime();
         RequestOptions options = new RequestOptions()
@@ -84,28 +85,29 @@
         }
         Promise<Outcome> done = Promise.promise();
         http.request(options)
-                .compose(req -> req.send(body(item).toBuffer()))
-                .onSuccess(resp -> read(item, resp, startNs, done))
-                .onFailure(e -> done.tryComplete(failed(item, startNs, "transport: " + e.getMessage())));
+                .compose(req -> req.send(requestBody(item).toBuffer()))
+                .onSuccess(resp -> readResponse(item, resp, startNs, done))
+                .onFailure(e -> done.tryComplete(failedOutcome(item, startNs, "transport: " + e.getMessage())));
         return done.future();
     }
 
     private synchronized int nextPort() {
-        return ports.get(turn++ % ports.size());
+        return ports.get(nextPortIndex++ % ports.size());
     }
 
-    private static JsonObject body(WorkItem item) {
-        String ask = Texts.words(item.key().isEmpty() ? item.service() + item.atMs() : item.key(), item.askWords());
+    private static JsonObject requestBody(WorkItem item) {
+        String userPrompt = FillerText.words(
+                item.key().isEmpty() ? item.service() + item.atMs() : item.key(), item.userPromptWords());
         if (item.plain()) {
-            return new JsonObject().put("instruction", ask);
+            return new JsonObject().put("instruction", userPrompt);
         }
         JsonArray messages = new JsonArray();
-        if (item.briefWords() > 0) {
+        if (item.systemPromptWords() > 0) {
             messages.add(new JsonObject()
                     .put("role", "system")
-                    .put("content", Texts.words(item.brief(), item.briefWords())));
+                    .put("content", FillerText.words(item.systemPromptName(), item.systemPromptWords())));
         }
-        messages.add(new JsonObject().put("role", "user").put("content", ask));
+        messages.add(new JsonObject().put("role", "user").put("content", userPrompt));
         return new JsonObject()
                 .put("model", item.service())
                 .put("messages", messages)
@@ -113,23 +115,23 @@
                 .put("stream", true);
     }
 
-    private void read(WorkItem item, HttpClientResponse resp, long startNs, Promise<Outcome> done) {
+    private void readResponse(WorkItem item, HttpClientResponse resp, long startNs, Promise<Outcome> done) {
         if (resp.statusCode() != 200 || item.plain()) {
             resp.body()
-                    .onSuccess(b -> done.tryComplete(whole(item, resp.statusCode(), startNs, b.toString())))
-                    .onFailure(e -> done.tryComplete(failed(item, startNs, e.getMessage())));
+                    .onSuccess(b -> done.tryComplete(bodyOutcome(item, resp.statusCode(), startNs, b.toString())))
+                    .onFailure(e -> done.tryComplete(failedOutcome(item, startNs, e.getMessage())));
             return;
         }
-        Stream s = new Stream(item, startNs, resp.getHeader("x-request-id"));
-        resp.handler(RecordParser.newDelimited("\n\n", ev -> s.event(ev.toString())));
+        ResponseStream s = new ResponseStream(item, startNs, resp.getHeader("x-request-id"));
+        resp.handler(RecordParser.newDelimited("\n\n", ev -> s.onEvent(ev.toString())));
         resp.exceptionHandler(e -> {
             s.errorType = "transport: " + e.getMessage();
-            done.tryComplete(s.outcome(false));
+            done.tryComplete(s.toOutcome(false));
         });
-        resp.endHandler(v -> done.tryComplete(s.outcome(s.done && s.errorType.isEmpty())));
+        resp.endHandler(v -> done.tryComplete(s.toOutcome(s.done && s.errorType.isEmpty())));
     }
 
-    private static Outcome whole(WorkItem item, int status, long startNs, String body) {
+    private static Outcome bodyOutcome(WorkItem item, int status, long startNs, String body) {
         long ms = (System.nanoTime() - startNs) / NS_PER_MS;
         JsonObject j;
         try {
@@ -157,9 +159,9 @@
                 item, status, j.getString("id", ""), status == 200, 1, ms, ms, "", false, 0, List.of(), j.encode());
     }
 
-    private static Outcome failed(WorkItem item, long startNs, String why) {
+    private static Outcome failedOutcome(WorkItem item, long startNs, String reason) {
         return new Outcome(
-                item, 0, "", false, 0, -1, (System.nanoTime() - startNs) / NS_PER_MS, why, false, 0, List.of(), "");
+                item, 0, "", false, 0, -1, (System.nanoTime() - startNs) / NS_PER_MS, reason, false, 0, List.of(), "");
     }
 
     @Override
@@ -167,8 +169,8 @@
         http.close();
     }
 
-    /** The state of one streamed answer as it arrives. */
-    private static final class Stream {
+    /** Accumulates the server-sent events of a streamed response. */
+    private static final class ResponseStream {
         private final WorkItem item;
         private final long startNs;
         private final StringBuilder text = new StringBuilder();
@@ -181,13 +183,13 @@
         private String errorType = "";
         private boolean notRun;
 
-        private Stream(WorkItem item, long startNs, String requestId) {
+        private ResponseStream(WorkItem item, long startNs, String requestId) {
             this.item = item;
             this.startNs = startNs;
             this.requestId = requestId == null ? "" : requestId;
         }
 
-        private void event(String ev) {
+        private void onEvent(String ev) {
             if (!ev.startsWith("data: ")) {
                 return;
             }
@@ -203,11 +205,11 @@
                 return;
             }
             requestId = j.getString("id", requestId);
-            String piece = j.getJsonArray("choices")
+            String content = j.getJsonArray("choices")
                     .getJsonObject(0)
                     .getJsonObject("delta")
                     .getString("content");
-            if (piece != null) {
+            if (content != null) {
                 long nowNs = System.nanoTime();
                 if (firstMs < 0) {
                     firstMs = (nowNs - startNs) / NS_PER_MS;
@@ -216,11 +218,11 @@
                 }
                 lastNs = nowNs;
                 tokens++;
-                text.append(piece);
+                text.append(content);
             }
         }
 
-        private Outcome outcome(boolean whole) {
+        private Outcome toOutcome(boolean whole) {
             long ms = (System.nanoTime() - startNs) / NS_PER_MS;
             return new Outcome(
                     item, 200, requestId, whole, tokens, firstMs, ms, errorType, notRun, 0, gapsMs, text.toString());
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/Texts.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/FillerText.java
@@ -2,8 +2,8 @@
 
 import java.util.SplittableRandom;
 
-/** Deterministic filler text for workloads: the same name and length always give the same words. */
-public final class Texts {
+/** Deterministic filler text for workloads: the same name and length always produce the same words. */
+public final class FillerText {
 
     private static final String[] WORDS = {
         "the",
@@ -29,9 +29,9 @@
         "campaign"
     };
 
-    private Texts() {}
+    private FillerText() {}
 
-    /** {@code n} words seeded by {@code name}. */
+    /** Returns {@code n} pseudo-random words; the hash of {@code name} is the seed. */
     public static String words(String name, int n) {
         SplittableRandom random = new SplittableRandom(name.hashCode());
         StringBuilder b = new StringBuilder(n * 7);
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/Outcome.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/Outcome.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * What came back for one work item.
+ * Result of a work item.
  *
  * @param item the item sent
- * @param status HTTP status
- * @param requestId the router's request id, from the answer
- * @param whole true when the answer ended with {@code [DONE]} and carried no error
- * @param tokens content pieces received
- * @param firstTokenMs time from send to the first piece, or -1
- * @param totalMs time from send to the end of the answer
- * @param errorType the error type the router gave, or empty
- * @param notRun the router's {@code not_run} flag on an error
- * @param retryAfterMs the router's {@code retry_after_ms} on an error
- * @param gapsMs times between two pieces of the answer
- * @param text the answer's text, for golden files
+ * @param status HTTP status, or 0 when there was no response
+ * @param requestId request id assigned by the router, or empty
+ * @param complete true when a streamed response ended with {@code [DONE]} and no error, or a response with a plain body
+ *     had status 200 and no error
+ * @param tokens number of content chunks received
+ * @param firstTokenMs time to the first chunk, or -1 when there was none
+ * @param totalMs time to the end of the response
+ * @param errorType error type of the response, a transport error of the driver, or empty
+ * @param notRun {@code not_run} flag of the error
+ * @param retryAfterMs {@code retry_after_ms} of the error
+ * @param gapsMs inter-token latencies
+ * @param text response text, compared with golden files
  */
 public record Outcome(
         WorkItem item,
@@ -32,7 +33,6 @@
         List<Long> gapsMs,
         String text) {
 
-    /** Copies the list. */
     public Outcome {
         gapsMs = List.copyOf(gapsMs);
     }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/Summary.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/Summary.java
@@ -12,30 +12,30 @@
 import org.onyxhinge.api.v1.TierSpec;
 
 /**
- * Adds up the outcomes of one run by tier. In time means the first token within the tier's budget and
- * the whole answer within its deadline, both as seen by the driver.
+ * Aggregates the outcomes of a run by tier. A response is in time when its first token arrives within the tier's budget
+ * and the complete response within its deadline, both as measured by the driver.
  */
 public final class Summary {
 
     private Summary() {}
 
     /**
-     * What the driver checks an answer against.
+     * Latency limits of a tier, against which responses are checked.
      *
-     * @param rank the tier's importance, 0 first
-     * @param firstTokenBudgetMs first-token budget
-     * @param deadlineMs whole-answer deadline
+     * @param rank priority of the tier, 0 is the highest
+     * @param firstTokenBudgetMs limit of the time to first token
+     * @param deadlineMs limit of the time to the complete response
      */
     public record Budget(int rank, long firstTokenBudgetMs, long deadlineMs) {
 
         private static final Budget NONE = new Budget(Integer.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
 
-        private boolean met(Outcome o) {
+        private boolean isMetBy(Outcome o) {
             return o.firstTokenMs() <= firstTokenBudgetMs && o.totalMs() <= deadlineMs;
         }
     }
 
-    /** The budgets of the tiers in a setup file. */
+    /** Returns the budgets of the tiers in a setup file, by tier name. */
     public static Map<String, Budget> budgets(List<Message> setup) {
         Map<String, Budget> out = new TreeMap<>();
         for (Message m : setup) {
@@ -46,20 +46,20 @@
         return out;
     }
 
-    /** Figures by tier, most important tier first. */
+    /** Returns a summary per tier, highest priority first. */
     public static List<TierSummary> byTier(List<Outcome> outcomes, Map<String, Budget> budgets) {
         Map<String, List<Outcome>> byTier = new TreeMap<>();
         outcomes.forEach(o ->
                 byTier.computeIfAbsent(o.item().tier(), t -> new ArrayList<>()).add(o));
         List<TierSummary> out = new ArrayList<>();
-        byTier.forEach((tier, all) -> out.add(tier(tier, all, budgets.getOrDefault(tier, Budget.NONE))));
+        byTier.forEach((tier, all) -> out.add(summarize(tier, all, budgets.getOrDefault(tier, Budget.NONE))));
         out.sort(Comparator.comparingInt(
                 t -> budgets.getOrDefault(t.tier(), Budget.NONE).rank()));
         return out;
     }
 
-    private static TierSummary tier(String tier, List<Outcome> outcomes, Budget budget) {
-        int whole = 0;
+    private static TierSummary summarize(String tier, List<Outcome> outcomes, Budget budget) {
+        int completeCount = 0;
         int inTime = 0;
         Map<String, Integer> refused = new TreeMap<>();
         Histogram first = TierSummary.histogram();
@@ -69,15 +69,15 @@
                 refused.merge(o.errorType().isEmpty() ? "status-" + o.status() : o.errorType(), 1, Integer::sum);
                 continue;
             }
-            whole++;
-            inTime += budget.met(o) ? 1 : 0;
+            completeCount++;
+            inTime += budget.isMetBy(o) ? 1 : 0;
             first.recordValue(Math.max(0, o.firstTokenMs()));
             o.gapsMs().forEach(gaps::recordValue);
         }
-        return new TierSummary(tier, outcomes.size(), whole, inTime, refused, first, gaps);
+        return new TierSummary(tier, outcomes.size(), completeCount, inTime, refused, first, gaps);
     }
 
-    /** A table for people, one line per tier. */
+    /** Formats the summaries as a human-readable table with one line per tier. */
     public static String table(List<TierSummary> tiers) {
         StringBuilder b = new StringBuilder(String.format(
                 "%-14s %6s %6s %7s %9s %9s %9s %10s  %s%n",
@@ -98,7 +98,7 @@
         return b.toString();
     }
 
-    /** Figures by tier as JSON. */
+    /** Converts the summaries to a JSON object keyed by tier. */
     public static JsonObject toJson(List<TierSummary> tiers) {
         JsonObject out = new JsonObject();
         tiers.forEach(t -> out.put(t.tier(), t.toJson()));
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/TierSummary.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/TierSummary.java
@@ -7,15 +7,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Figures of one tier over one run, as the driver saw them.
+ * Statistics of a tier over a run, as measured by the driver.
  *
- * @param tier the tier
- * @param sent requests sent
- * @param whole answers delivered whole
- * @param inTime of those, with the first token within the tier's budget and the end within its deadline
- * @param refusedByReason the others, by the reason the router gave
- * @param firstTokenMs time to the first token of whole answers
- * @param gapMs time between two pieces of whole answers
+ * @param tier tier name
+ * @param sent number of requests sent
+ * @param complete number of complete responses
+ * @param inTime number of complete responses within the tier's first-token budget and deadline
+ * @param refusedByReason number of requests without a complete response, by error type or HTTP status
+ * @param firstTokenMs time to first token of complete responses
+ * @param gapMs inter-token latency of complete responses
  */
 public record TierSummary(
         String tier,
@@ -26,24 +26,23 @@
         Histogram firstTokenMs,
         Histogram gapMs) {
 
-    private static final long HIGHEST_MS = 3_600_000;
-    private static final int DIGITS = 3;
+    private static final long MAX_TRACKABLE_MS = 3_600_000;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
-    /** Copies the map. */
     public TierSummary {
         refusedByReason = new TreeMap<>(refusedByReason);
     }
 
     static Histogram histogram() {
-        return new Histogram(HIGHEST_MS, DIGITS);
+        return new Histogram(MAX_TRACKABLE_MS, SIGNIFICANT_DIGITS);
     }
 
-    /** Share of the requests sent that were answered whole and in time. */
+    /** Returns the fraction of the requests sent that had a complete response in time. */
     public double goodput() {
         return sent == 0 ? 0 : (double) inTime / sent;
     }
 
-    /** As JSON, for reports. */
+    /** Converts the statistics to the JSON object used in reports. */
     public JsonObject toJson() {
         JsonObject refused = new JsonObject();
         refusedByReason.forEach(refused::put);
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/WorkItem.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/WorkItem.java
@@ -3,16 +3,17 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * One request of a workload file (JSON Lines, one object per line).
+ * A request of a workload file (JSON Lines, one object per line).
  *
- * @param atMs when to send it, from the start of the run
- * @param workspace workspace header
- * @param tier tier header
+ * @param atMs send time relative to the start of the run
+ * @param workspace value of the workspace header
+ * @param tier value of the tier header
  * @param service service name
- * @param brief name of the shared system prompt; requests with the same brief share a prefix
- * @param briefWords length of the shared system prompt in words
- * @param askWords length of the request's own part in words
- * @param maxTokens tokens wanted
+ * @param systemPromptName name of the system prompt ({@code brief} in the file); requests with the same name share a
+ *     prompt prefix
+ * @param systemPromptWords length of the system prompt in words ({@code briefWords} in the file)
+ * @param userPromptWords length of the user prompt in words ({@code askWords} in the file)
+ * @param maxTokens maximum number of output tokens
  * @param key idempotency key, or empty
  * @param plain true for a plain service call
  */
@@ -21,14 +22,14 @@
         String workspace,
         String tier,
         String service,
-        String brief,
-        int briefWords,
-        int askWords,
+        String systemPromptName,
+        int systemPromptWords,
+        int userPromptWords,
         int maxTokens,
         String key,
         boolean plain) {
 
-    /** Reads one line of a workload file; throws {@link IllegalArgumentException} naming the bad field. */
+    /** Parses a line of a workload file; throws {@link IllegalArgumentException} when a field has the wrong type. */
     public static WorkItem fromJson(JsonObject j) {
         try {
             return new WorkItem(
@@ -47,16 +48,16 @@
         }
     }
 
-    /** The same request at another time; a non-empty key gets {@code suffix}, so it is a new request. */
-    public WorkItem copyAt(long otherAtMs, String suffix) {
+    /** Copies the request to another time, with {@code suffix} added to a non-empty key so that it is a new request. */
+    public WorkItem copyAt(long newAtMs, String suffix) {
         return new WorkItem(
-                otherAtMs,
+                newAtMs,
                 workspace,
                 tier,
                 service,
-                brief,
-                briefWords,
-                askWords,
+                systemPromptName,
+                systemPromptWords,
+                userPromptWords,
                 maxTokens,
                 key.isEmpty() ? "" : key + "-" + suffix,
                 plain);
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/Workload.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/Workload.java
@@ -9,12 +9,12 @@
 import io.vertx.core.json.DecodeException;
 import io.vertx.core.json.JsonObject;
 
-/** Reads a workload file: JSON Lines of {@link WorkItem}; blank lines and lines starting with # are skipped. */
+/** Reader of workload files: JSON Lines of {@link WorkItem}; blank lines and lines starting with # are skipped. */
 public final class Workload {
 
     private Workload() {}
 
-    /** Reads every item; throws {@link IllegalArgumentException} naming the file and line of a bad one. */
+    /** Reads all items; throws {@link IllegalArgumentException} with the file and line of the first invalid item. */
     public static List<WorkItem> read(Path file) throws IOException {
         List<WorkItem> out = new ArrayList<>();
         List<String> lines = Files.readAllLines(file);
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/package-info.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/package-info.java
@@ -1,2 +1,2 @@
-/** Workloads and the driver that sends them to a router on loopback and measures what came back. */
+/** Workloads, the driver that sends them to routers, and summaries of the measured outcomes. */
 package org.onyxhinge.tools.load;
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/package-info.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tools around the two binaries: the platform stand-ins as their own processes, the embedded demo
- * that runs the main job end to end on one machine, and the load and experiment tool.
+ * Tools for the router and agent binaries: platform stand-ins as separate processes, an embedded end-to-end demo on a
+ * single machine, and the load and experiment tool.
  */
 package org.onyxhinge.tools;
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/standin/EngineCommand.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/standin/EngineCommand.java
@@ -9,7 +9,7 @@
 import org.onyxhinge.standins.engine.EngineSpec;
 import org.onyxhinge.standins.engine.EngineStandIn;
 
-/** {@code standin engine}: one model engine stand-in. */
+/** {@code standin engine}: runs a model engine stand-in. */
 @Command(name = "engine", description = "Run a model engine stand-in")
 public final class EngineCommand implements Runnable {
 
@@ -20,7 +20,7 @@
     @Option(name = "--port", description = "HTTP port (default 8000)")
     private int port = 8000;
 
-    @Option(name = "--max-batch", description = "sequences run at once (default 8)")
+    @Option(name = "--max-batch", description = "maximum number of concurrent sequences (default 8)")
     private int maxBatch = 8;
 
     @Option(name = "--prefill", description = "prompt tokens per second (default 20000)")
@@ -29,13 +29,15 @@
     @Option(name = "--decode", description = "tokens per second per sequence (default 50)")
     private int decode = 50;
 
-    @Option(name = "--cache", description = "prompt prefixes cached (default 64)")
+    @Option(name = "--cache", description = "prefix cache capacity in prefixes (default 64)")
     private int cache = 64;
 
-    @Option(name = "--load-lag-ms", description = "age of the published load (default 200)")
+    @Option(name = "--load-lag-ms", description = "age of the published load report (default 200)")
     private long loadLagMs = 200;
 
-    @Option(name = "--checks-fencing", description = "refuse orders with an old fencing token (default: ignore it)")
+    @Option(
+            name = "--checks-fencing",
+            description = "reject orders with a stale fencing token (default: ignore the token)")
     private boolean checksFencing;
 
     @Override
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/standin/KvCommand.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/standin/KvCommand.java
@@ -11,8 +11,8 @@
 import org.onyxhinge.standins.kv.KvStandIn;
 
 /**
- * {@code standin kv}: the key-value stand-in. Its control port takes {@code POST /faults?down=&delayMs=
- * &lostReplyPercent=} and {@code POST /compact}, and serves {@code GET /stats}.
+ * {@code standin kv}: runs the key-value service stand-in. Its control port accepts {@code POST
+ * /faults?down=&delayMs=&lostReplyPercent=} and {@code POST /compact}, and serves {@code GET /stats}.
  */
 @Command(name = "kv", description = "Run the key-value service stand-in")
 public final class KvCommand implements Runnable {
@@ -20,10 +20,10 @@
     @Option(name = "--port", description = "key-value protocol port (default 2379)")
     private int port = 2379;
 
-    @Option(name = "--control-port", description = "HTTP port for faults and stats (default 2380)")
+    @Option(name = "--control-port", description = "HTTP port for fault injection and statistics (default 2380)")
     private int controlPort = 2380;
 
-    @Option(name = "--seed", description = "seed of the lost-reply faults (default 1)")
+    @Option(name = "--seed", description = "random seed of lost-reply faults (default 1)")
     private long seed = 1;
 
     @Override
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/standin/ServiceCommand.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/standin/ServiceCommand.java
@@ -7,14 +7,14 @@
 import org.onyxhinge.runtime.Logs;
 import org.onyxhinge.standins.service.PlainServiceStandIn;
 
-/** {@code standin service}: a plain service stand-in whose calls may not be repeated. */
+/** {@code standin service}: runs a plain service stand-in whose calls are not idempotent. */
 @Command(name = "service", description = "Run a plain service stand-in")
 public final class ServiceCommand implements Runnable {
 
     @Option(name = "--port", description = "HTTP port (default 8100)")
     private int port = 8100;
 
-    @Option(name = "--latency-ms", description = "time per call (default 20)")
+    @Option(name = "--latency-ms", description = "service time of a call (default 20)")
     private long latencyMs = 20;
 
     @Override
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/standin/VmListCommand.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/standin/VmListCommand.java
@@ -7,14 +7,14 @@
 import org.onyxhinge.runtime.Logs;
 import org.onyxhinge.standins.vmlist.VmListStandIn;
 
-/** {@code standin vmlist}: the platform's lagging list of VMs. */
+/** {@code standin vmlist}: runs a stand-in of the platform's VM list, which shows changes with a delay. */
 @Command(name = "vmlist", description = "Run the VM list stand-in")
 public final class VmListCommand implements Runnable {
 
     @Option(name = "--port", description = "HTTP port (default 8500)")
     private int port = 8500;
 
-    @Option(name = "--lag-ms", description = "how late a change shows (default 1000)")
+    @Option(name = "--lag-ms", description = "delay until a change becomes visible (default 1000)")
     private long lagMs = 1_000;
 
     @Override
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/standin/package-info.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/standin/package-info.java
@@ -1,2 +1,2 @@
-/** Commands that run one platform stand-in as its own process, for tests of separate processes. */
+/** Commands that run a platform stand-in as a separate process, for multi-process tests. */
 package org.onyxhinge.tools.standin;
--- a/onyxhinge-tools/src/test/java/org/onyxhinge/tools/ConfigurationFailureTest.java
+++ b/onyxhinge-tools/src/test/java/org/onyxhinge/tools/ConfigurationFailureTest.java
@@ -23,8 +23,8 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * Configuration, and requests that need the key-value service, while that service is down, slow, loses
- * replies or forgets its history, while a router is paused, and while operators race.
+ * Configuration changes, and requests that depend on the key-value service, during failures: the service is down, loses
+ * replies or compacts its history, a router is paused, or operators write the same key concurrently.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class ConfigurationFailureTest {
@@ -39,7 +39,7 @@
                 .service("p1", 5)
                 .router("r1")
                 .router("r2")
-                .ready(2);
+                .awaitReady(2);
         driver = site.driver("r1", "r2");
     }
 
@@ -54,10 +54,10 @@
     class ServiceDown {
 
         @Test
-        void keepsServingAndRefusesHonestlyWhatItCannotRecord() throws Exception {
+        void refusesUnrecordableCallsAsNotRunAndServesOthers() throws Exception {
             site.kvFaults(true, 0, 0);
-            Outcome draft = send(draft());
-            Outcome print = send(print("down-1"));
+            Outcome draft = send(draftItem());
+            Outcome print = send(printItem("down-1"));
             site.kvFaults(false, 0, 0);
             assertThat(draft.whole(), is(true));
             assertThat(print.errorType(), equalTo("store_unavailable"));
@@ -65,21 +65,21 @@
             assertThat(print.retryAfterMs(), greaterThan(0L));
             assertThat(site.stats("p1").getJsonArray("keys").contains("down-1"), is(false));
             TestSite.await(
-                    "the same key runs once the service is back",
-                    () -> send(print("down-1")).whole());
+                    "the refused key runs after the service has recovered",
+                    () -> send(printItem("down-1")).whole());
         }
 
         @Test
-        void aWatchRefusedInAnOutageIsMadeAgain() throws Exception {
+        void watchRefusedDuringOutageIsReestablished() throws Exception {
             site.kvFaults(true, 0, 0);
             site.router("r3");
             TestSite.await(
-                    "r3 tries to load its configuration",
+                    "r3 attempts to load the configuration",
                     () -> site.kvStats().getJsonObject("calls").getLong("Range", 0L) > 6);
             site.kvFaults(false, 0, 0);
-            TestSite.await("r3 has the configuration in force", () -> inForce("r3", revision("r1")));
+            TestSite.await("r3 has applied the current configuration", () -> hasRevision("r3", revision("r1")));
             put("r1", "after-outage", 7, 0);
-            TestSite.await("r3 hears of changes", () -> inForce("r3", revision("r1")));
+            TestSite.await("r3 applies the change received from its watch", () -> hasRevision("r3", revision("r1")));
         }
     }
 
@@ -87,21 +87,24 @@
     class RepliesLost {
 
         @Test
-        void aWriteWhoseReplyIsLostIsAppliedOnceAndReported() throws Exception {
+        void writeWithLostReplyIsAppliedOnceAndReported() throws Exception {
             site.kvFaults(false, 0, 100);
-            PutReply reply = Launch.await(put("r1", "lost-reply", 5, 0), TestSite.CALL_MS);
-            Outcome print = send(print("lost-1", "night-batch"));
-            Outcome urgent = send(print("lost-2", "print-slot"));
+            PutReply reply = Launch.await(put("r1", "lost-reply", 5, 0), TestSite.CALL_TIMEOUT_MS);
+            Outcome print = send(printItem("lost-1", "night-batch"));
+            Outcome urgent = send(printItem("lost-2", "print-slot"));
             site.kvFaults(false, 0, 0);
-            assertThat("the claim outlasts the tier's budget", urgent.errorType(), equalTo("store_unavailable"));
+            assertThat(
+                    "claiming the key takes longer than the first-token budget of the tier",
+                    urgent.errorType(),
+                    equalTo("store_unavailable"));
             assertThat(urgent.notRun(), is(true));
             assertThat(reply.getVersion(), equalTo(1L));
-            assertThat("claimed although the reply was lost", print.whole(), is(true));
+            assertThat("key claimed despite the lost reply", print.whole(), is(true));
             assertThat(site.stats("p1").getLong("keysRunTwice"), equalTo(0L));
             assertThat(site.stats("p1").getJsonArray("keys").contains("lost-2"), is(false));
             TestSite.await(
-                    "the claim is given back",
-                    () -> send(print("lost-2", "print-slot")).whole());
+                    "the claim on the key is released",
+                    () -> send(printItem("lost-2", "print-slot")).whole());
         }
     }
 
@@ -109,15 +112,15 @@
     class OperatorsRace {
 
         @Test
-        void oneWinsEachVersionAndTheOtherIsTold() throws Exception {
+        void exactlyOneWriteOfEachVersionSucceeds() throws Exception {
             for (int version = 0; version < 5; version++) {
                 List<Future<PutReply>> both = List.of(
                         put("r1", "contested", 10 + version, version), put("r2", "contested", 20 + version, version));
-                Launch.await(Future.join(both).otherwiseEmpty(), TestSite.CALL_MS);
-                long won = both.stream().filter(Future::succeeded).count();
-                assertThat("winners of version " + version, won, equalTo(1L));
+                Launch.await(Future.join(both).otherwiseEmpty(), TestSite.CALL_TIMEOUT_MS);
+                long winners = both.stream().filter(Future::succeeded).count();
+                assertThat("successful writes of version " + version, winners, equalTo(1L));
             }
-            TestSite.await("both routers agree", () -> revision("r1") == revision("r2"));
+            TestSite.await("both routers have the same revision", () -> revision("r1") == revision("r2"));
         }
     }
 
@@ -125,20 +128,20 @@
     class RouterPaused {
 
         @Test
-        void takesWhatItMissedAndNeverGoesBack() throws Exception {
+        void appliesMissedChangesAndNeverRevertsToAnOlderRevision() throws Exception {
             long before = revision("r2");
             site.pause("r2");
-            Launch.await(put("r1", "while-paused", 3, 0), TestSite.CALL_MS);
-            Launch.await(put("r1", "while-paused", 4, 1), TestSite.CALL_MS);
+            Launch.await(put("r1", "while-paused", 3, 0), TestSite.CALL_TIMEOUT_MS);
+            Launch.await(put("r1", "while-paused", 4, 1), TestSite.CALL_TIMEOUT_MS);
             site.kvCompact();
             site.resume("r2");
             List<Long> seen = new ArrayList<>(List.of(before));
-            TestSite.await("r2 has the newest configuration", () -> {
+            TestSite.await("r2 has applied the latest configuration", () -> {
                 seen.add(revision("r2"));
-                return inForce("r2", revision("r1"));
+                return hasRevision("r2", revision("r1"));
             });
             assertThat(
-                    "revisions in force, in order",
+                    "revisions observed in ascending order",
                     seen,
                     equalTo(seen.stream().sorted().toList()));
         }
@@ -159,12 +162,12 @@
         return site.state(router).getLong("configRevision");
     }
 
-    private boolean inForce(String router, long revision) {
-        return revisionOrNone(router) >= revision;
+    private boolean hasRevision(String router, long revision) {
+        return revisionIfReachable(router) >= revision;
     }
 
-    /** The revision in force, or -1 while the router does not answer yet. */
-    private long revisionOrNone(String router) {
+    /** Returns the applied revision, or -1 while the router does not respond yet. */
+    private long revisionIfReachable(String router) {
         try {
             return revision(router);
         } catch (IllegalStateException e) {
@@ -173,18 +176,18 @@
     }
 
     private Outcome send(WorkItem item) {
-        return Launch.await(driver.send(item), TestSite.CALL_MS);
+        return Launch.await(driver.send(item), TestSite.CALL_TIMEOUT_MS);
     }
 
-    private static WorkItem draft() {
+    private static WorkItem draftItem() {
         return new WorkItem(0, "account-staff", "print-slot", "draft-letter", "c", 20, 10, 10, "", false);
     }
 
-    private static WorkItem print(String key) {
-        return print(key, "print-slot");
+    private static WorkItem printItem(String key) {
+        return printItem(key, "print-slot");
     }
 
-    private static WorkItem print(String key, String tier) {
+    private static WorkItem printItem(String key, String tier) {
         return new WorkItem(0, "printers-night", tier, "print-instruction", "", 0, 10, 1, key, true);
     }
 }
--- a/onyxhinge-tools/src/test/java/org/onyxhinge/tools/ProcessFailureTest.java
+++ b/onyxhinge-tools/src/test/java/org/onyxhinge/tools/ProcessFailureTest.java
@@ -24,10 +24,10 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.not;
 
-/** Processes killed, paused and stopped while requests are in progress. */
+/** Processes that are killed, paused or terminated while requests are in progress. */
 class ProcessFailureTest {
 
-    private static final int LONG_ANSWER = 200;
+    private static final int LONG_RESPONSE_TOKENS = 200;
 
     private TestSite site;
 
@@ -42,62 +42,64 @@
     class Killed {
 
         @Test
-        void anEngineKilledMidAnswerIsReportedAndItsRequestsNeverRunAgain() throws Exception {
+        void requestsOnAKilledEngineFailAndAreNotRetried() throws Exception {
             site = TestSite.start("kill-engine")
                     .engine("e1", "--decode", "50")
                     .engine("e2", "--decode", "50")
                     .router("r1")
-                    .ready(2);
+                    .awaitReady(2);
             Driver driver = site.driver("r1");
-            List<Future<Outcome>> sent = start(driver, 8, LONG_ANSWER);
-            TestSite.await("both engines run requests", () -> running("e1") > 0 && running("e2") > 0);
+            List<Future<Outcome>> sent = sendNightBatch(driver, 8, LONG_RESPONSE_TOKENS);
+            TestSite.await("both engines are running requests", () -> running("e1") > 0 && running("e2") > 0);
             site.kill("e1");
-            List<Outcome> outcomes = all(sent);
+            List<Outcome> outcomes = awaitAll(sent);
             long failed = outcomes.stream()
                     .filter(o -> o.errorType().equals("target_failed") && !o.notRun())
                     .count();
-            long whole = outcomes.stream()
-                    .filter(o -> o.whole() && o.tokens() == LONG_ANSWER)
+            long completeCount = outcomes.stream()
+                    .filter(o -> o.whole() && o.tokens() == LONG_RESPONSE_TOKENS)
                     .count();
             assertThat(failed, greaterThan(0L));
-            assertThat("every caller was answered", failed + whole, equalTo(8L));
+            assertThat("every request either failed or completed", failed + completeCount, equalTo(8L));
             assertThat(site.stats("e2").getLong("requestsSeenTwice"), equalTo(0L));
             assertThat(
-                    "none of the failed ones was sent to the other engine",
+                    "no failed request was sent to the other engine",
                     site.stats("e2").getLong("requestsSeen"),
-                    equalTo(whole));
+                    equalTo(completeCount));
         }
 
         @Test
-        void aTargetWhoseAgentIsKilledGetsNoNewWork() throws Exception {
+        void targetOfAKilledAgentGetsNoNewRequests() throws Exception {
             site = TestSite.start("kill-agent")
                     .engine("e1", "--decode", "200")
                     .engine("e2", "--decode", "200")
                     .router("r1")
-                    .ready(2);
+                    .awaitReady(2);
             Driver driver = site.driver("r1");
             site.kill("agent-e1");
-            TestSite.await("r1 takes the silent engine out", () -> silentMs("r1", "e1") > 1_600);
+            TestSite.await("r1 stops using the silent engine", () -> silentMs("r1", "e1") > 1_600);
             long before = site.stats("e1").getLong("requestsSeen");
-            List<Outcome> outcomes = all(start(driver, 12, 10));
+            List<Outcome> outcomes = awaitAll(sendNightBatch(driver, 12, 10));
             assertThat(outcomes.stream().map(Outcome::whole).toList(), everyItem(is(true)));
             assertThat(site.stats("e1").getLong("requestsSeen"), equalTo(before));
         }
 
         @Test
-        void aRouterKilledMidRequestNeverLetsItsKeyRunTwice() throws Exception {
+        void keyOfARequestOnAKilledRouterRunsOnce() throws Exception {
             site = TestSite.start("kill-router")
                     .service("p1", 1_000)
                     .router("r1")
                     .router("r2")
-                    .ready(1);
-            WorkItem print = print("killed-1");
+                    .awaitReady(1);
+            WorkItem print = printItem("killed-1");
             Future<Outcome> first = site.driver("r1").send(print);
-            TestSite.await("r1 has sent it", () -> inFlight("r1") > 0);
+            TestSite.await("r1 has dispatched the request", () -> inFlight("r1") > 0);
             site.kill("r1");
             assertThat(
-                    "its caller is not left waiting", all(List.of(first)).get(0).whole(), is(false));
-            Outcome again = Launch.await(site.driver("r2").send(print), TestSite.CALL_MS);
+                    "the call on the killed router fails",
+                    awaitAll(List.of(first)).get(0).whole(),
+                    is(false));
+            Outcome again = Launch.await(site.driver("r2").send(print), TestSite.CALL_TIMEOUT_MS);
             assertThat(again.errorType(), equalTo("already_run"));
             assertThat(site.stats("p1").getLong("keysRunTwice"), equalTo(0L));
         }
@@ -107,58 +109,61 @@
     class PlannedStop {
 
         @Test
-        void aRouterFinishesWhatItHasAndRefusesNewWorkHonestly() throws Exception {
+        void drainingRouterCompletesItsRequestsAndRefusesNewOnesAsNotRun() throws Exception {
             site = TestSite.start("drain-router")
                     .engine("e1", "--decode", "100")
                     .router("r1")
-                    .ready(1);
+                    .awaitReady(1);
             Driver driver = site.driver("r1");
-            List<Future<Outcome>> sent = start(driver, 4, LONG_ANSWER);
-            TestSite.await("requests run", () -> running("e1") == 4);
+            List<Future<Outcome>> sent = sendNightBatch(driver, 4, LONG_RESPONSE_TOKENS);
+            TestSite.await("all requests are running", () -> running("e1") == 4);
             Process router = site.terminate("r1");
-            TestSite.await("r1 drains", () -> site.state("r1").getBoolean("draining"));
-            Outcome late = Launch.await(driver.send(night(10)), TestSite.CALL_MS);
+            TestSite.await("r1 is draining", () -> site.state("r1").getBoolean("draining"));
+            Outcome late = Launch.await(driver.send(nightBatchItem(10)), TestSite.CALL_TIMEOUT_MS);
             assertThat(late.errorType(), equalTo("draining"));
             assertThat(late.notRun(), is(true));
-            for (Outcome o : all(sent)) {
+            for (Outcome o : awaitAll(sent)) {
                 assertThat(o.whole(), is(true));
-                assertThat(o.tokens(), equalTo(LONG_ANSWER));
+                assertThat(o.tokens(), equalTo(LONG_RESPONSE_TOKENS));
             }
             assertThat(router.waitFor(30, TimeUnit.SECONDS), is(true));
         }
 
         @Test
-        void anAgentEndsOnlyWhenItsTargetIsIdleAndTheTargetGetsNothingNew() throws Exception {
+        void drainingAgentExitsOnlyWhenItsTargetIsIdleAndTheTargetGetsNoNewRequests() throws Exception {
             site = TestSite.start("drain-agent")
                     .engine("e1", "--decode", "100")
                     .engine("e2", "--decode", "100")
                     .router("r1")
-                    .ready(2);
+                    .awaitReady(2);
             Driver driver = site.driver("r1");
-            List<Future<Outcome>> sent = start(driver, 8, LONG_ANSWER);
-            TestSite.await("both run requests", () -> running("e1") > 0 && running("e2") > 0);
+            List<Future<Outcome>> sent = sendNightBatch(driver, 8, LONG_RESPONSE_TOKENS);
+            TestSite.await("both engines are running requests", () -> running("e1") > 0 && running("e2") > 0);
             Process agent = site.terminate("agent-e1");
-            TestSite.await("r1 sees it leave", () -> draining("r1", "e1"));
+            TestSite.await("r1 sees e1 draining", () -> draining("r1", "e1"));
             long before = site.stats("e1").getLong("requestsSeen");
-            List<Outcome> later = all(start(driver, 6, 10));
+            List<Outcome> later = awaitAll(sendNightBatch(driver, 6, 10));
             assertThat(later.stream().map(Outcome::whole).toList(), everyItem(is(true)));
-            assertThat("new work", site.stats("e1").getLong("requestsSeen"), equalTo(before));
-            assertThat(all(sent).stream().map(Outcome::whole).toList(), everyItem(is(true)));
+            assertThat(
+                    "requests received by the draining target",
+                    site.stats("e1").getLong("requestsSeen"),
+                    equalTo(before));
+            assertThat(awaitAll(sent).stream().map(Outcome::whole).toList(), everyItem(is(true)));
             assertThat(agent.waitFor(30, TimeUnit.SECONDS), is(true));
             assertThat(site.stats("e1").getLong("cancelled"), equalTo(0L));
         }
 
         @Test
-        void aTargetTheVmListShowsLeavingGetsNothingNew() throws Exception {
+        void targetOnALeavingVmGetsNoNewRequests() throws Exception {
             site = TestSite.start("vm-list");
             int vmList = site.vmList(300);
             site.engine("e1", "--decode", "100").engine("e2", "--decode", "100");
             site.kill("agent-e1");
             site.agent("e1", "drafting", "[vm_list]", "vm_id = vm-e1", "port = " + vmList, "interval_ms = 100");
-            site.router("r1").ready(2);
+            site.router("r1").awaitReady(2);
             site.post(vmList, "/vms/vm-e1?state=leaving");
-            TestSite.await("r1 sees it leave", () -> draining("r1", "e1"));
-            List<Outcome> outcomes = all(start(site.driver("r1"), 6, 10));
+            TestSite.await("r1 sees e1 draining", () -> draining("r1", "e1"));
+            List<Outcome> outcomes = awaitAll(sendNightBatch(site.driver("r1"), 6, 10));
             assertThat(outcomes.stream().map(Outcome::whole).toList(), everyItem(is(true)));
             assertThat(site.stats("e1").getLong("requestsSeen"), equalTo(0L));
         }
@@ -168,21 +173,21 @@
     class EnginePaused {
 
         @Test
-        void getsNoNewWorkAndComesBackWhenItGoesOn() throws Exception {
+        void getsNoNewRequestsUntilItResumes() throws Exception {
             site = TestSite.start("pause-engine")
                     .engine("e1", "--decode", "100")
                     .engine("e2", "--decode", "100")
                     .router("r1")
-                    .ready(2);
+                    .awaitReady(2);
             Driver driver = site.driver("r1");
             site.pause("e1");
-            TestSite.await("r1 takes the silent engine out", () -> silentMs("r1", "e1") > 1_600);
-            List<Outcome> meanwhile = all(start(driver, 6, 10));
+            TestSite.await("r1 stops using the silent engine", () -> silentMs("r1", "e1") > 1_600);
+            List<Outcome> meanwhile = awaitAll(sendNightBatch(driver, 6, 10));
             site.resume("e1");
-            TestSite.await("r1 hears it again", () -> silentMs("r1", "e1") < 1_000);
+            TestSite.await("r1 receives load reports of e1 again", () -> silentMs("r1", "e1") < 1_000);
             assertThat(meanwhile.stream().map(Outcome::whole).toList(), everyItem(is(true)));
             assertThat(site.stats("e1").getLong("requestsSeen"), equalTo(0L));
-            List<Outcome> after = all(start(driver, 8, 10));
+            List<Outcome> after = awaitAll(sendNightBatch(driver, 8, 10));
             assertThat(after.stream().map(Outcome::whole).toList(), everyItem(is(true)));
             assertThat(site.stats("e1").getLong("requestsSeen"), greaterThan(0L));
         }
@@ -192,27 +197,27 @@
     class PausedPastItsLease {
 
         @Test
-        void aRoutersOrderIsFencedEvenByAnAgentWhoseTargetIgnoresTokens() throws Exception {
+        void staleOrderIsFencedEvenWhenTheTargetIgnoresTokens() throws Exception {
             site = TestSite.start("fencing")
                     .engine("e1")
                     .engine("e2", "--checks-fencing")
                     .router("r1")
                     .router("r2")
-                    .ready(2);
+                    .awaitReady(2);
             site.kvFaults(false, 700, 0);
             Future<OrderPoolReply> stale = site.admin("r1").order("drafting", OrderKind.LOAD_MODEL, "model-old");
             TestSite.await(
-                    "r1's lease write is in the store",
+                    "the order lease of r1 is stored",
                     () -> site.kvStats().getJsonArray("prefixes").contains("orders/"));
             site.pause("r1");
             site.kvFaults(false, 0, 0);
             TestSite.await(
-                    "its lease has lapsed",
+                    "the order lease of r1 has expired",
                     () -> !site.kvStats().getJsonArray("prefixes").contains("orders/"));
             OrderPoolReply fresh = Launch.await(
-                    site.admin("r2").order("drafting", OrderKind.LOAD_MODEL, "model-new"), TestSite.CALL_MS);
+                    site.admin("r2").order("drafting", OrderKind.LOAD_MODEL, "model-new"), TestSite.CALL_TIMEOUT_MS);
             site.resume("r1");
-            OrderPoolReply old = Launch.await(stale, TestSite.CALL_MS);
+            OrderPoolReply old = Launch.await(stale, TestSite.CALL_TIMEOUT_MS);
             assertThat(statuses(fresh), everyItem(is("DONE")));
             assertThat(statuses(old), everyItem(is("FENCED")));
             assertThat(old.getResultsCount(), equalTo(2));
@@ -229,22 +234,23 @@
                     .engine("e1", "--max-batch", "2", "--decode", "50")
                     .router("r1")
                     .router("r2")
-                    .ready(1);
+                    .awaitReady(1);
             List<Future<Outcome>> low = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
-                low.add(site.driver("r1").send(night(LONG_ANSWER)));
+                low.add(site.driver("r1").send(nightBatchItem(LONG_RESPONSE_TOKENS)));
             }
-            TestSite.await("r1 fills the engine with low-tier work", () -> running("e1") == 2);
-            TestSite.await("r2 knows", () -> othersInFlight("r2", "e1") == 2);
-            Outcome high = Launch.await(site.driver("r2").send(draft(10)), TestSite.CALL_MS);
-            assertThat("r1 makes room for r2's higher tier: " + high, high.whole(), is(true));
+            TestSite.await("the engine is full of low-tier requests of r1", () -> running("e1") == 2);
+            TestSite.await("r2 sees the requests of r1", () -> othersInFlight("r2", "e1") == 2);
+            Outcome high = Launch.await(site.driver("r2").send(draftItem(10)), TestSite.CALL_TIMEOUT_MS);
+            assertThat("r1 preempts a request for the higher tier of r2: " + high, high.whole(), is(true));
             assertThat(site.stats("e1").getLong("cancelled"), equalTo(1L));
             site.pause("r1");
-            TestSite.await("the freed slot is taken again or seen", () -> othersInFlight("r2", "e1") >= 1);
-            Outcome other = Launch.await(site.driver("r2").send(draft(10)), TestSite.CALL_MS);
+            TestSite.await(
+                    "r2 sees at least one request of another router on e1", () -> othersInFlight("r2", "e1") >= 1);
+            Outcome other = Launch.await(site.driver("r2").send(draftItem(10)), TestSite.CALL_TIMEOUT_MS);
             site.resume("r1");
-            assertThat("answered or refused, not left waiting", other.status(), is(not(0)));
-            all(low);
+            assertThat("completed or refused, not timed out", other.status(), is(not(0)));
+            awaitAll(low);
         }
     }
 
@@ -252,17 +258,17 @@
         return reply.getResultsList().stream().map(TargetOrderResult::getStatus).toList();
     }
 
-    private List<Future<Outcome>> start(Driver driver, int n, int tokens) {
+    private List<Future<Outcome>> sendNightBatch(Driver driver, int n, int tokens) {
         List<Future<Outcome>> sent = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            sent.add(driver.send(night(tokens)));
+            sent.add(driver.send(nightBatchItem(tokens)));
         }
         return sent;
     }
 
-    private static List<Outcome> all(List<Future<Outcome>> sent) {
+    private static List<Outcome> awaitAll(List<Future<Outcome>> sent) {
         List<Outcome> out = new ArrayList<>();
-        sent.forEach(f -> out.add(Launch.await(f, 2 * TestSite.CALL_MS)));
+        sent.forEach(f -> out.add(Launch.await(f, 2 * TestSite.CALL_TIMEOUT_MS)));
         return out;
     }
 
@@ -294,15 +300,15 @@
         return engine(router, engineId).getLong("silentMs", 0L);
     }
 
-    private static WorkItem draft(int tokens) {
+    private static WorkItem draftItem(int tokens) {
         return new WorkItem(0, "account-staff", "print-slot", "draft-letter", "c", 20, 10, tokens, "", false);
     }
 
-    private static WorkItem night(int tokens) {
+    private static WorkItem nightBatchItem(int tokens) {
         return new WorkItem(0, "printers-night", "night-batch", "draft-letter", "c", 20, 10, tokens, "", false);
     }
 
-    private static WorkItem print(String key) {
+    private static WorkItem printItem(String key) {
         return new WorkItem(0, "printers-night", "print-slot", "print-instruction", "", 0, 10, 1, key, true);
     }
 }
--- a/onyxhinge-tools/src/test/java/org/onyxhinge/tools/Processes.java
+++ b/onyxhinge-tools/src/test/java/org/onyxhinge/tools/Processes.java
@@ -10,19 +10,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Starts onyxhinge's processes as separate JVMs for tests, signals them, and kills them at the end. */
+/** Starts onyxhinge processes as separate JVMs for tests, sends them signals, and kills them on close. */
 final class Processes implements AutoCloseable {
 
-    private static final long START_MS = 60_000;
+    private static final long START_TIMEOUT_MS = 60_000;
 
-    private final Map<String, Process> started = new LinkedHashMap<>();
+    private final Map<String, Process> processesByName = new LinkedHashMap<>();
     private final Path logs;
 
     Processes(Path logs) {
         this.logs = logs;
     }
 
-    Process java(String name, Class<?> main, String... args) throws IOException {
+    Process startJvm(String name, Class<?> main, String... args) throws IOException {
         List<String> cmd = new ArrayList<>();
         cmd.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         cmd.add("-Xmx256m");
@@ -36,12 +36,12 @@
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log))
                 .start();
-        started.put(name, p);
+        processesByName.put(name, p);
         return p;
     }
 
     static void awaitPort(int port) throws InterruptedException {
-        long until = System.currentTimeMillis() + START_MS;
+        long until = System.currentTimeMillis() + START_TIMEOUT_MS;
         while (System.currentTimeMillis() < until) {
             try (Socket s = new Socket()) {
                 s.connect(new InetSocketAddress("127.0.0.1", port), 200);
@@ -50,30 +50,30 @@
                 Thread.sleep(50);
             }
         }
-        throw new IllegalStateException("nothing listens on port " + port);
+        throw new IllegalStateException("timed out waiting for a listener on port " + port);
     }
 
-    boolean alive(String name) {
-        return started.containsKey(name) && started.get(name).isAlive();
+    boolean isRunning(String name) {
+        return processesByName.containsKey(name) && processesByName.get(name).isAlive();
     }
 
     Process get(String name) {
-        return started.get(name);
+        return processesByName.get(name);
     }
 
-    /** Sends a signal by name, for example STOP. */
+    /** Sends the named signal, for example STOP. */
     void signal(String name, String signal) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + signal, "" + started.get(name).pid())
+        new ProcessBuilder("kill", "-" + signal, "" + processesByName.get(name).pid())
                 .start()
                 .waitFor();
     }
 
     @Override
     public void close() throws InterruptedException {
-        for (Process p : started.values()) {
+        for (Process p : processesByName.values()) {
             p.destroyForcibly();
         }
-        for (Process p : started.values()) {
+        for (Process p : processesByName.values()) {
             p.waitFor();
         }
     }
--- a/onyxhinge-tools/src/test/java/org/onyxhinge/tools/RandomFailureTest.java
+++ b/onyxhinge-tools/src/test/java/org/onyxhinge/tools/RandomFailureTest.java
@@ -24,10 +24,10 @@
 import static org.hamcrest.Matchers.not;
 
 /**
- * A seeded run in which failures come in any order, together and twice, while requests keep coming and
- * every print is tried again with its key until it is answered. The program's own invariants are on in
- * every process; what must hold is checked here from outside. Only promises are asserted, never how
- * many requests got through, so the verdict does not depend on the machine's speed.
+ * Injects a random sequence of failures from a seed, which may repeat or overlap, while requests continue and each
+ * print call is retried with its key until it completes, was already run, or its attempts are used up. Invariant checks
+ * are enabled in every process; guarantees to callers are checked from outside. The number of successful requests is
+ * not asserted, so that the result does not depend on the speed of the machine.
  */
 class RandomFailureTest {
 
@@ -35,7 +35,7 @@
     private static final int ROUNDS = Integer.getInteger("onyxhinge.failures.rounds", 14);
     private static final int DRAFT_TOKENS = 30;
     private static final int PRINT_ATTEMPTS = 4;
-    private static final int REQUESTS_A_ROUND = 12;
+    private static final int REQUESTS_PER_ROUND = 12;
 
     private final Random random = new Random(SEED);
     private final Map<String, List<Outcome>> printsByKey = new ConcurrentHashMap<>();
@@ -51,45 +51,46 @@
     }
 
     @Test
-    void promisesHoldThroughAnySequenceOfFailures() throws Exception {
+    void guaranteesHoldDuringRandomFailures() throws Exception {
         site = TestSite.start("random")
                 .engine("e1", "--decode", "100", "--max-batch", "4")
                 .engine("e2", "--decode", "60", "--max-batch", "4")
                 .service("p1", 80)
                 .router("r1")
                 .router("r2")
-                .ready(3);
+                .awaitReady(3);
         Driver[] drivers = {site.driver("r1"), site.driver("r2")};
         List<List<Future<Outcome>>> drafts = List.of(new ArrayList<>(), new ArrayList<>());
         for (int round = 0; round < ROUNDS; round++) {
-            for (int i = 0; i < REQUESTS_A_ROUND; i++) {
+            for (int i = 0; i < REQUESTS_PER_ROUND; i++) {
                 if (random.nextBoolean()) {
                     int router = random.nextInt(2);
-                    drafts.get(router).add(drivers[router].send(draft()));
+                    drafts.get(router).add(drivers[router].send(draftItem()));
                 } else {
-                    sent.add(print(drivers, "chaos-" + keys++, random.nextInt(2), PRINT_ATTEMPTS));
+                    sent.add(sendPrint(drivers, "chaos-" + keys++, random.nextInt(2), PRINT_ATTEMPTS));
                 }
             }
-            breakSomething(random.nextInt(7));
+            injectFailure(random.nextInt(7));
         }
-        heal();
+        clearFailures();
         for (Future<?> f : sent) {
-            Launch.await(f, PRINT_ATTEMPTS * TestSite.CALL_MS);
+            Launch.await(f, PRINT_ATTEMPTS * TestSite.CALL_TIMEOUT_MS);
         }
-        checkDrafts(outcomes(drafts.get(0)), false);
-        checkDrafts(outcomes(drafts.get(1)), true);
-        checkPrints();
-        assertThat("invariants inside the program", site.logged("InvariantViolation"), is(false));
+        assertDraftsValid(outcomes(drafts.get(0)), false);
+        assertDraftsValid(outcomes(drafts.get(1)), true);
+        assertPrintsValid();
+        assertThat("invariant violation logged by a process", site.logsContain("InvariantViolation"), is(false));
         TestSite.await(
-                "the site serves again",
-                () -> Launch.await(drivers[0].send(draft()), TestSite.CALL_MS).whole());
+                "drafts complete again",
+                () -> Launch.await(drivers[0].send(draftItem()), TestSite.CALL_TIMEOUT_MS)
+                        .whole());
         TestSite.await(
-                "the site prints again",
-                () -> Launch.await(drivers[1].send(printItem("after-" + keys++)), TestSite.CALL_MS)
+                "print calls complete again",
+                () -> Launch.await(drivers[1].send(printItem("after-" + keys++)), TestSite.CALL_TIMEOUT_MS)
                         .whole());
     }
 
-    private void breakSomething(int kind) throws Exception {
+    private void injectFailure(int kind) throws Exception {
         switch (kind) {
             case 0 -> site.kvFaults(random.nextBoolean(), 0, 0);
             case 1 -> site.kvFaults(false, random.nextInt(300), 50);
@@ -115,61 +116,63 @@
         Thread.sleep(random.nextInt(600));
     }
 
-    private void heal() throws Exception {
+    private void clearFailures() throws Exception {
         site.kvFaults(false, 0, 0);
         TestSite.await("r1 sees every target", () -> site.engines("r1").size() == 3);
     }
 
     private static List<Outcome> outcomes(List<Future<Outcome>> sent) {
         List<Outcome> out = new ArrayList<>();
-        sent.forEach(f -> out.add(Launch.await(f, 2 * TestSite.CALL_MS)));
+        sent.forEach(f -> out.add(Launch.await(f, 2 * TestSite.CALL_TIMEOUT_MS)));
         return out;
     }
 
-    /** Only a caller of a router that was killed may see its connection break without a word. */
-    private void checkDrafts(List<Outcome> drafts, boolean routerKilled) {
+    /** Only callers of a killed router may see a transport error instead of a response. */
+    private void assertDraftsValid(List<Outcome> drafts, boolean routerKilled) {
         for (Outcome o : drafts) {
             assertThat(
-                    "answered whole or told why: " + o.status(),
+                    "completed or has an error type: " + o.status(),
                     o.whole() || !o.errorType().isEmpty(),
                     is(true));
             assertThat(o.errorType(), routerKilled || !o.errorType().startsWith("transport"), is(true));
-            assertThat("whole answers are whole", !o.whole() || o.tokens() == DRAFT_TOKENS, is(true));
+            assertThat("complete responses have all tokens", !o.whole() || o.tokens() == DRAFT_TOKENS, is(true));
         }
         assertThat(site.stats("e1").getLong("requestsSeenTwice"), equalTo(0L));
         assertThat(site.stats("e2").getLong("requestsSeenTwice"), equalTo(0L));
     }
 
-    private void checkPrints() {
+    private void assertPrintsValid() {
         assertThat(site.stats("p1").getLong("keysRunTwice"), equalTo(0L));
         Set<String> run = site.stats("p1").getJsonArray("keys").stream()
                 .map(String::valueOf)
                 .collect(Collectors.toSet());
-        Map<String, List<Outcome>> toldNotRun = new HashMap<>(printsByKey);
-        toldNotRun.values().removeIf(all -> !all.stream().allMatch(Outcome::notRun));
-        toldNotRun
+        Map<String, List<Outcome>> reportedNotRun = new HashMap<>(printsByKey);
+        reportedNotRun.values().removeIf(all -> !all.stream().allMatch(Outcome::notRun));
+        reportedNotRun
                 .values()
                 .removeIf(all -> all.stream().anyMatch(o -> o.errorType().equals("already_run")));
-        toldNotRun.keySet().retainAll(run);
-        assertThat("told not run, but run", toldNotRun.keySet(), is(empty()));
+        reportedNotRun.keySet().retainAll(run);
+        assertThat("reported as not run, but run", reportedNotRun.keySet(), is(empty()));
         printsByKey.forEach((key, outcomes) -> {
-            assertThat("every print was answered", outcomes, is(not(empty())));
+            assertThat("every print call has an outcome", outcomes, is(not(empty())));
             for (Outcome o : outcomes) {
                 assertThat(
-                        "a caller gets its own answer", !o.whole() || o.text().contains(key), is(true));
+                        "response belongs to the request",
+                        !o.whole() || o.text().contains(key),
+                        is(true));
             }
-            long whole = outcomes.stream().filter(Outcome::whole).count();
-            assertThat("answered once: " + key, whole <= 1, is(true));
-            assertThat("delivered but not run: " + key, whole == 0 || run.contains(key), is(true));
+            long completeCount = outcomes.stream().filter(Outcome::whole).count();
+            assertThat("completed at most once: " + key, completeCount <= 1, is(true));
+            assertThat("completed but not run: " + key, completeCount == 0 || run.contains(key), is(true));
         });
     }
 
-    /** Sends a print, and again on the other router until it is answered whole or was run. */
-    private Future<Void> print(Driver[] drivers, String key, int router, int attempts) {
+    /** Sends a print call, retrying on the other router until it completes, was already run, or attempts run out. */
+    private Future<Void> sendPrint(Driver[] drivers, String key, int router, int attempts) {
         return drivers[router].send(printItem(key)).compose(o -> {
             printsByKey.computeIfAbsent(key, k -> new ArrayList<>()).add(o);
-            boolean over = o.whole() || o.errorType().equals("already_run") || attempts <= 1;
-            return over ? Future.succeededFuture() : print(drivers, key, 1 - router, attempts - 1);
+            boolean finished = o.whole() || o.errorType().equals("already_run") || attempts <= 1;
+            return finished ? Future.succeededFuture() : sendPrint(drivers, key, 1 - router, attempts - 1);
         });
     }
 
@@ -177,7 +180,7 @@
         return new WorkItem(0, "printers-night", "drafting", "print-instruction", "", 0, 10, 1, key, true);
     }
 
-    private static WorkItem draft() {
+    private static WorkItem draftItem() {
         return new WorkItem(0, "account-staff", "drafting", "draft-letter", "c", 20, 10, DRAFT_TOKENS, "", false);
     }
 }
--- a/onyxhinge-tools/src/test/java/org/onyxhinge/tools/TestSite.java
+++ b/onyxhinge-tools/src/test/java/org/onyxhinge/tools/TestSite.java
@@ -28,14 +28,14 @@
 import org.onyxhinge.tools.load.Driver;
 
 /**
- * A small site for tests: the stand-ins, routers and agents each as a separate JVM on loopback, with
- * ways to break them. Configured like Póstvirki.
+ * A small site for tests with fault injection. Each stand-in, router and agent is a separate JVM on loopback. The
+ * configuration is that of the Póstvirki example.
  */
 final class TestSite implements AutoCloseable {
 
-    static final long CALL_MS = 30_000;
-    private static final long WAIT_MS = 60_000;
-    private static final long POLL_MS = 20;
+    static final long CALL_TIMEOUT_MS = 30_000;
+    private static final long AWAIT_TIMEOUT_MS = 60_000;
+    private static final long POLL_INTERVAL_MS = 20;
 
     private final Path dir;
     private final Processes processes;
@@ -53,7 +53,7 @@
         this.processes = new Processes(dir);
     }
 
-    /** A site with its key-value stand-in running and nothing else. */
+    /** Starts a site that consists only of the key-value stand-in. */
     static TestSite start(String name) throws IOException, InterruptedException {
         Path dir = Path.of("target", "sites", name);
         if (Files.exists(dir)) {
@@ -62,7 +62,7 @@
             }
         }
         TestSite site = new TestSite(Files.createDirectories(dir));
-        site.tools("kv", "kv", "--port", "" + site.kvPort, "--control-port", "" + site.kvControlPort);
+        site.startStandIn("kv", "kv", "--port", "" + site.kvPort, "--control-port", "" + site.kvControlPort);
         Processes.awaitPort(site.kvPort);
         Processes.awaitPort(site.kvControlPort);
         return site;
@@ -72,22 +72,22 @@
         return vertx;
     }
 
-    /** An engine stand-in and, unless it runs already, the agent beside it; also starts a killed one again. */
+    /** Starts or restarts an engine stand-in, and its agent unless that is running. */
     TestSite engine(String id, String... options) throws IOException {
         targetPorts.computeIfAbsent(id, i -> Ports.free());
         List<String> args = new ArrayList<>(List.of("engine", "--id", id, "--port", "" + targetPorts.get(id)));
         args.addAll(Arrays.asList(options));
-        tools(id, args.toArray(String[]::new));
-        return processes.alive("agent-" + id) ? this : agent(id, "drafting");
+        startStandIn(id, args.toArray(String[]::new));
+        return processes.isRunning("agent-" + id) ? this : agent(id, "drafting");
     }
 
     TestSite service(String id, int latencyMs) throws IOException {
         targetPorts.put(id, Ports.free());
-        tools(id, "service", "--port", "" + targetPorts.get(id), "--latency-ms", "" + latencyMs);
+        startStandIn(id, "service", "--port", "" + targetPorts.get(id), "--latency-ms", "" + latencyMs);
         return agent(id, "print-house");
     }
 
-    /** A router, also one killed before; {@code lines} are added at the end of its settings. */
+    /** Starts or restarts a router; {@code lines} are appended to its settings. */
     TestSite router(String id, String... lines) throws IOException {
         httpPorts.computeIfAbsent(id, i -> Ports.free());
         adminPorts.computeIfAbsent(id, i -> Ports.free());
@@ -106,11 +106,11 @@
                 "[scheduler]",
                 "engine_silent_ms = 1500"));
         ini.addAll(Arrays.asList(lines));
-        processes.java(id, RouterMain.class, "run", "--config", write(id + ".ini", ini));
+        processes.startJvm(id, RouterMain.class, "run", "--config", writeFile(id + ".ini", ini));
         return this;
     }
 
-    /** Starts the agent of a target, again when it was killed; {@code lines} are added to its settings. */
+    /** Starts or restarts the agent of a target; {@code lines} are appended to its settings. */
     TestSite agent(String targetId, String pool, String... lines) throws IOException {
         statusPorts.put("agent-" + targetId, Ports.free());
         List<String> ini = new ArrayList<>(List.of(
@@ -130,21 +130,21 @@
                 "port = " + kvPort,
                 "lease_ttl_ms = 1500"));
         ini.addAll(Arrays.asList(lines));
-        processes.java(
-                "agent-" + targetId, AgentMain.class, "run", "--config", write("agent-" + targetId + ".ini", ini));
+        processes.startJvm(
+                "agent-" + targetId, AgentMain.class, "run", "--config", writeFile("agent-" + targetId + ".ini", ini));
         return this;
     }
 
-    /** A VM list that shows changes after {@code lagMs}; answers its port. */
+    /** Starts a VM list stand-in that shows changes after {@code lagMs}; returns its port. */
     int vmList(long lagMs) throws IOException, InterruptedException {
         int port = Ports.free();
-        tools("vmlist", "vmlist", "--port", "" + port, "--lag-ms", "" + lagMs);
+        startStandIn("vmlist", "vmlist", "--port", "" + port, "--lag-ms", "" + lagMs);
         Processes.awaitPort(port);
         return port;
     }
 
     /** Applies the Póstvirki setup through a router and waits until every router sees {@code targets} targets. */
-    TestSite ready(int targets) throws InterruptedException {
+    TestSite awaitReady(int targets) throws InterruptedException {
         for (int port : adminPorts.values()) {
             Processes.awaitPort(port);
         }
@@ -152,14 +152,14 @@
                 .flatMap(SetupFile::read)
                 .get();
         try (AdminClient admin = admin(adminPorts.keySet().iterator().next())) {
-            Launch.await(admin.apply(setup), CALL_MS);
+            Launch.await(admin.apply(setup), CALL_TIMEOUT_MS);
         }
         for (int port : httpPorts.values()) {
             Processes.awaitPort(port);
         }
         for (String agent : statusPorts.keySet()) {
-            // Until then routers know a target only by its agent's defaults.
-            await(agent + " hears its target", () -> state(agent).getBoolean("targetReachable"));
+            // Until the agent reaches its target, routers have only the default values of the agent for it.
+            await(agent + " reaches its target", () -> state(agent).getBoolean("targetReachable"));
         }
         for (String router : httpPorts.keySet()) {
             await(
@@ -175,10 +175,10 @@
 
     Driver driver(String... routers) {
         List<Integer> ports = Arrays.stream(routers).map(httpPorts::get).toList();
-        return Driver.balanced(vertx, "127.0.0.1", ports, CALL_MS);
+        return Driver.roundRobin(vertx, "127.0.0.1", ports, CALL_TIMEOUT_MS);
     }
 
-    /** The state dump of a router or agent. */
+    /** Returns the state dump of a router or agent. */
     JsonObject state(String process) {
         Integer port = httpPorts.containsKey(process) ? httpPorts.get(process) : statusPorts.get(process);
         return get(port, "/debug/state");
@@ -188,7 +188,7 @@
         return state(router).getJsonObject("scheduler").getJsonArray("engines", new JsonArray());
     }
 
-    /** Exact counts of an engine or service stand-in. */
+    /** Returns the exact counters of an engine or service stand-in. */
     JsonObject stats(String target) {
         return get(targetPorts.get(target), "/stats");
     }
@@ -210,40 +210,40 @@
                 http.request(HttpMethod.GET, port, "127.0.0.1", path)
                         .compose(req -> req.send().compose(resp -> resp.body()))
                         .map(b -> new JsonObject(b.toString())),
-                CALL_MS);
+                CALL_TIMEOUT_MS);
     }
 
     void post(int port, String path) {
         Launch.await(
                 http.request(HttpMethod.POST, port, "127.0.0.1", path)
                         .compose(req -> req.send().compose(resp -> resp.body())),
-                CALL_MS);
+                CALL_TIMEOUT_MS);
     }
 
-    /** {@code kill -9}: the process is gone at once. */
+    /** Kills a process with SIGKILL and waits for its exit. */
     void kill(String name) throws InterruptedException {
         processes.get(name).destroyForcibly().waitFor();
     }
 
-    /** SIGTERM: a planned stop; does not wait. */
+    /** Requests a planned stop with SIGTERM, without waiting for the exit. */
     Process terminate(String name) {
         Process p = processes.get(name);
         p.destroy();
         return p;
     }
 
-    /** SIGSTOP: the process is paused and does not know it. */
+    /** Pauses a process with SIGSTOP, which it cannot notice. */
     void pause(String name) throws IOException, InterruptedException {
         processes.signal(name, "STOP");
     }
 
-    /** SIGCONT: the process goes on. */
+    /** Resumes a paused process with SIGCONT. */
     void resume(String name) throws IOException, InterruptedException {
         processes.signal(name, "CONT");
     }
 
-    /** True when a process of this site ever logged {@code text}. */
-    boolean logged(String text) throws IOException {
+    /** Returns whether the log of any process of this site contains {@code text}. */
+    boolean logsContain(String text) throws IOException {
         try (Stream<Path> files = Files.list(dir)) {
             for (Path file : files.filter(f -> f.toString().endsWith(".log")).toList()) {
                 if (Files.readString(file).contains(text)) {
@@ -254,24 +254,24 @@
         return false;
     }
 
-    /** Waits for a condition, however slow the machine; fails with its name after a minute. */
+    /** Polls a condition for up to a minute, to allow for slow machines; fails with {@code what} after that. */
     static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long untilMs = System.currentTimeMillis() + WAIT_MS;
+        long untilMs = System.currentTimeMillis() + AWAIT_TIMEOUT_MS;
         while (!condition.getAsBoolean()) {
             if (System.currentTimeMillis() > untilMs) {
-                throw new AssertionError("did not happen: " + what);
+                throw new AssertionError("timed out waiting until: " + what);
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    private void tools(String name, String... args) throws IOException {
+    private void startStandIn(String name, String... args) throws IOException {
         List<String> all = new ArrayList<>(List.of("standin"));
         all.addAll(Arrays.asList(args));
-        processes.java(name, ToolsMain.class, all.toArray(String[]::new));
+        processes.startJvm(name, ToolsMain.class, all.toArray(String[]::new));
     }
 
-    private String write(String name, List<String> lines) throws IOException {
+    private String writeFile(String name, List<String> lines) throws IOException {
         Path file = dir.resolve(name);
         Files.write(file, lines, StandardCharsets.UTF_8);
         return file.toString();
@@ -280,6 +280,6 @@
     @Override
     public void close() throws InterruptedException {
         processes.close();
-        Launch.await(vertx.close(), CALL_MS);
+        Launch.await(vertx.close(), CALL_TIMEOUT_MS);
     }
 }
--- a/onyxhinge-tools/src/test/java/org/onyxhinge/tools/WholePathTest.java
+++ b/onyxhinge-tools/src/test/java/org/onyxhinge/tools/WholePathTest.java
@@ -25,8 +25,8 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * The whole path as separate processes on loopback: key-value, engine and service stand-ins, two
- * agents and a router, each its own JVM. A session of requests is compared with a golden file.
+ * End-to-end test with separate processes on loopback: key-value, engine and service stand-ins, two agents and a
+ * router, each in its own JVM. The outcomes of a session of requests are compared with a golden file.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class WholePathTest {
@@ -43,7 +43,7 @@
                 .engine("e1", "--prefill", "20000", "--decode", "200")
                 .service("p1", 5)
                 .router("r1")
-                .ready(2);
+                .awaitReady(2);
         driver = site.driver("r1");
     }
 
@@ -61,7 +61,7 @@
 
         @Test
         @Order(1)
-        void streamsTheWholeAnswerToItsCaller() {
+        void streamsCompleteResponse() {
             Outcome o = send(new WorkItem(
                     0, "account-staff", "print-slot", "draft-letter", "campaign-1", 40, 12, 24, "", false));
             assertThat(o.whole(), is(true));
@@ -71,7 +71,7 @@
 
         @Test
         @Order(2)
-        void runsANonIdempotentCallOnceAndRefusesTheRepeatHonestly() {
+        void runsNonIdempotentCallOnceAndRefusesRepeatAsNotRun() {
             WorkItem print = new WorkItem(
                     0, "printers-night", "print-slot", "print-instruction", "", 0, 20, 1, "env-0001", true);
             Outcome first = send(print);
@@ -85,7 +85,7 @@
 
         @Test
         @Order(3)
-        void refusesUnknownNamesAndSaysItDidNotRun() {
+        void refusesUnknownWorkspaceAsNotRun() {
             Outcome o = send(new WorkItem(0, "nobody", "print-slot", "draft-letter", "", 0, 5, 4, "", false));
             assertThat(o.status(), equalTo(404));
             assertThat(o.errorType(), equalTo("unknown_workspace"));
@@ -94,7 +94,7 @@
 
         @Test
         @Order(4)
-        void matchesTheGoldenSession() throws IOException {
+        void sessionMatchesGoldenFile() throws IOException {
             String actual = String.join("\n", transcript) + "\n";
             if (Boolean.getBoolean("onyxhinge.golden.update")) {
                 Files.writeString(GOLDEN, actual);
@@ -104,7 +104,7 @@
     }
 
     private Outcome send(WorkItem item) {
-        Outcome o = Launch.await(driver.send(item), TestSite.CALL_MS);
+        Outcome o = Launch.await(driver.send(item), TestSite.CALL_TIMEOUT_MS);
         transcript.add(item.service() + " ws=" + item.workspace() + " tier=" + item.tier() + " -> status=" + o.status()
                 + " whole=" + o.whole() + " tokens=" + o.tokens() + " error=" + o.errorType() + " notRun=" + o.notRun()
                 + " text=" + o.text().replaceAll("r1-[a-z0-9]+-[0-9]+", "<id>"));
