--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/TrafficCost.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/TrafficCost.java
@@ -121,7 +121,7 @@
     private static void all(List<Future<Outcome>> sent) {
         for (Future<Outcome> f : sent) {
             Outcome o = Launch.await(f, BATCH_MS);
-            if (!o.whole()) {
+            if (!o.complete()) {
                 throw new IllegalStateException("a request of the batch failed: " + o.errorType());
             }
         }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/experiment/ComparisonCsv.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/experiment/ComparisonCsv.java
@@ -47,7 +47,7 @@
                             r.spec().loadFactor(),
                             t.tier(),
                             t.sent(),
-                            t.whole(),
+                            t.complete(),
                             t.inTime(),
                             String.format("%.4f", t.goodput()),
                             t.firstTokenMs().getValueAtPercentile(50),
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/Driver.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/Driver.java
@@ -222,10 +222,10 @@
             }
         }
 
-        private Outcome toOutcome(boolean whole) {
+        private Outcome toOutcome(boolean complete) {
             long ms = (System.nanoTime() - startNs) / NS_PER_MS;
             return new Outcome(
-                    item, 200, requestId, whole, tokens, firstMs, ms, errorType, notRun, 0, gapsMs, text.toString());
+                    item, 200, requestId, complete, tokens, firstMs, ms, errorType, notRun, 0, gapsMs, text.toString());
         }
     }
 }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/Outcome.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/Outcome.java
@@ -23,7 +23,7 @@
         WorkItem item,
         int status,
         String requestId,
-        boolean whole,
+        boolean complete,
         int tokens,
         long firstTokenMs,
         long totalMs,
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/Summary.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/Summary.java
@@ -65,7 +65,7 @@
         Histogram first = TierSummary.histogram();
         Histogram gaps = TierSummary.histogram();
         for (Outcome o : outcomes) {
-            if (!o.whole()) {
+            if (!o.complete()) {
                 refused.merge(o.errorType().isEmpty() ? "status-" + o.status() : o.errorType(), 1, Integer::sum);
                 continue;
             }
@@ -87,7 +87,7 @@
                     "%-14s %6d %6d %7d %9d %9d %9d %10d  %s%n",
                     t.tier(),
                     t.sent(),
-                    t.whole(),
+                    t.complete(),
                     t.inTime(),
                     t.firstTokenMs().getValueAtPercentile(50),
                     t.firstTokenMs().getValueAtPercentile(95),
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/TierSummary.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/load/TierSummary.java
@@ -20,7 +20,7 @@
 public record TierSummary(
         String tier,
         int sent,
-        int whole,
+        int complete,
         int inTime,
         Map<String, Integer> refusedByReason,
         Histogram firstTokenMs,
@@ -48,7 +48,7 @@
         refusedByReason.forEach(refused::put);
         return new JsonObject()
                 .put("sent", sent)
-                .put("whole", whole)
+                .put("whole", complete)
                 .put("inTime", inTime)
                 .put("refused", refused)
                 .put("firstTokenP50Ms", firstTokenMs.getValueAtPercentile(50))
--- a/onyxhinge-tools/src/test/java/org/onyxhinge/tools/ConfigurationFailureTest.java
+++ b/onyxhinge-tools/src/test/java/org/onyxhinge/tools/ConfigurationFailureTest.java
@@ -59,14 +59,14 @@
             Outcome draft = send(draftItem());
             Outcome print = send(printItem("down-1"));
             site.kvFaults(false, 0, 0);
-            assertThat(draft.whole(), is(true));
+            assertThat(draft.complete(), is(true));
             assertThat(print.errorType(), equalTo("store_unavailable"));
             assertThat(print.notRun(), is(true));
             assertThat(print.retryAfterMs(), greaterThan(0L));
             assertThat(site.stats("p1").getJsonArray("keys").contains("down-1"), is(false));
             TestSite.await(
                     "the refused key runs after the service has recovered",
-                    () -> send(printItem("down-1")).whole());
+                    () -> send(printItem("down-1")).complete());
         }
 
         @Test
@@ -99,12 +99,12 @@
                     equalTo("store_unavailable"));
             assertThat(urgent.notRun(), is(true));
             assertThat(reply.getVersion(), equalTo(1L));
-            assertThat("key claimed despite the lost reply", print.whole(), is(true));
+            assertThat("key claimed despite the lost reply", print.complete(), is(true));
             assertThat(site.stats("p1").getLong("keysRunTwice"), equalTo(0L));
             assertThat(site.stats("p1").getJsonArray("keys").contains("lost-2"), is(false));
             TestSite.await(
                     "the claim on the key is released",
-                    () -> send(printItem("lost-2", "print-slot")).whole());
+                    () -> send(printItem("lost-2", "print-slot")).complete());
         }
     }
 
--- a/onyxhinge-tools/src/test/java/org/onyxhinge/tools/ProcessFailureTest.java
+++ b/onyxhinge-tools/src/test/java/org/onyxhinge/tools/ProcessFailureTest.java
@@ -57,7 +57,7 @@
                     .filter(o -> o.errorType().equals("target_failed") && !o.notRun())
                     .count();
             long completeCount = outcomes.stream()
-                    .filter(o -> o.whole() && o.tokens() == LONG_RESPONSE_TOKENS)
+                    .filter(o -> o.complete() && o.tokens() == LONG_RESPONSE_TOKENS)
                     .count();
             assertThat(failed, greaterThan(0L));
             assertThat("every request either failed or completed", failed + completeCount, equalTo(8L));
@@ -80,7 +80,7 @@
             TestSite.await("r1 stops using the silent engine", () -> silentMs("r1", "e1") > 1_600);
             long before = site.stats("e1").getLong("requestsSeen");
             List<Outcome> outcomes = awaitAll(sendNightBatch(driver, 12, 10));
-            assertThat(outcomes.stream().map(Outcome::whole).toList(), everyItem(is(true)));
+            assertThat(outcomes.stream().map(Outcome::complete).toList(), everyItem(is(true)));
             assertThat(site.stats("e1").getLong("requestsSeen"), equalTo(before));
         }
 
@@ -97,7 +97,7 @@
             site.kill("r1");
             assertThat(
                     "the call on the killed router fails",
-                    awaitAll(List.of(first)).get(0).whole(),
+                    awaitAll(List.of(first)).get(0).complete(),
                     is(false));
             Outcome again = Launch.await(site.driver("r2").send(print), TestSite.CALL_TIMEOUT_MS);
             assertThat(again.errorType(), equalTo("already_run"));
@@ -123,7 +123,7 @@
             assertThat(late.errorType(), equalTo("draining"));
             assertThat(late.notRun(), is(true));
             for (Outcome o : awaitAll(sent)) {
-                assertThat(o.whole(), is(true));
+                assertThat(o.complete(), is(true));
                 assertThat(o.tokens(), equalTo(LONG_RESPONSE_TOKENS));
             }
             assertThat(router.waitFor(30, TimeUnit.SECONDS), is(true));
@@ -143,12 +143,12 @@
             TestSite.await("r1 sees e1 draining", () -> draining("r1", "e1"));
             long before = site.stats("e1").getLong("requestsSeen");
             List<Outcome> later = awaitAll(sendNightBatch(driver, 6, 10));
-            assertThat(later.stream().map(Outcome::whole).toList(), everyItem(is(true)));
+            assertThat(later.stream().map(Outcome::complete).toList(), everyItem(is(true)));
             assertThat(
                     "requests received by the draining target",
                     site.stats("e1").getLong("requestsSeen"),
                     equalTo(before));
-            assertThat(awaitAll(sent).stream().map(Outcome::whole).toList(), everyItem(is(true)));
+            assertThat(awaitAll(sent).stream().map(Outcome::complete).toList(), everyItem(is(true)));
             assertThat(agent.waitFor(30, TimeUnit.SECONDS), is(true));
             assertThat(site.stats("e1").getLong("cancelled"), equalTo(0L));
         }
@@ -164,7 +164,7 @@
             site.post(vmList, "/vms/vm-e1?state=leaving");
             TestSite.await("r1 sees e1 draining", () -> draining("r1", "e1"));
             List<Outcome> outcomes = awaitAll(sendNightBatch(site.driver("r1"), 6, 10));
-            assertThat(outcomes.stream().map(Outcome::whole).toList(), everyItem(is(true)));
+            assertThat(outcomes.stream().map(Outcome::complete).toList(), everyItem(is(true)));
             assertThat(site.stats("e1").getLong("requestsSeen"), equalTo(0L));
         }
     }
@@ -185,10 +185,10 @@
             List<Outcome> meanwhile = awaitAll(sendNightBatch(driver, 6, 10));
             site.resume("e1");
             TestSite.await("r1 receives load reports of e1 again", () -> silentMs("r1", "e1") < 1_000);
-            assertThat(meanwhile.stream().map(Outcome::whole).toList(), everyItem(is(true)));
+            assertThat(meanwhile.stream().map(Outcome::complete).toList(), everyItem(is(true)));
             assertThat(site.stats("e1").getLong("requestsSeen"), equalTo(0L));
             List<Outcome> after = awaitAll(sendNightBatch(driver, 8, 10));
-            assertThat(after.stream().map(Outcome::whole).toList(), everyItem(is(true)));
+            assertThat(after.stream().map(Outcome::complete).toList(), everyItem(is(true)));
             assertThat(site.stats("e1").getLong("requestsSeen"), greaterThan(0L));
         }
     }
@@ -242,7 +242,7 @@
             TestSite.await("the engine is full of low-tier requests of r1", () -> running("e1") == 2);
             TestSite.await("r2 sees the requests of r1", () -> othersInFlight("r2", "e1") == 2);
             Outcome high = Launch.await(site.driver("r2").send(draftItem(10)), TestSite.CALL_TIMEOUT_MS);
-            assertThat("r1 preempts a request for the higher tier of r2: " + high, high.whole(), is(true));
+            assertThat("r1 preempts a request for the higher tier of r2: " + high, high.complete(), is(true));
             assertThat(site.stats("e1").getLong("cancelled"), equalTo(1L));
             site.pause("r1");
             TestSite.await(
--- a/onyxhinge-tools/src/test/java/org/onyxhinge/tools/RandomFailureTest.java
+++ b/onyxhinge-tools/src/test/java/org/onyxhinge/tools/RandomFailureTest.java
@@ -83,11 +83,11 @@
         TestSite.await(
                 "drafts complete again",
                 () -> Launch.await(drivers[0].send(draftItem()), TestSite.CALL_TIMEOUT_MS)
-                        .whole());
+                        .complete());
         TestSite.await(
                 "print calls complete again",
                 () -> Launch.await(drivers[1].send(printItem("after-" + keys++)), TestSite.CALL_TIMEOUT_MS)
-                        .whole());
+                        .complete());
     }
 
     private void injectFailure(int kind) throws Exception {
@@ -132,10 +132,10 @@
         for (Outcome o : drafts) {
             assertThat(
                     "completed or has an error type: " + o.status(),
-                    o.whole() || !o.errorType().isEmpty(),
+                    o.complete() || !o.errorType().isEmpty(),
                     is(true));
             assertThat(o.errorType(), routerKilled || !o.errorType().startsWith("transport"), is(true));
-            assertThat("complete responses have all tokens", !o.whole() || o.tokens() == DRAFT_TOKENS, is(true));
+            assertThat("complete responses have all tokens", !o.complete() || o.tokens() == DRAFT_TOKENS, is(true));
         }
         assertThat(site.stats("e1").getLong("requestsSeenTwice"), equalTo(0L));
         assertThat(site.stats("e2").getLong("requestsSeenTwice"), equalTo(0L));
@@ -158,10 +158,10 @@
             for (Outcome o : outcomes) {
                 assertThat(
                         "response belongs to the request",
-                        !o.whole() || o.text().contains(key),
+                        !o.complete() || o.text().contains(key),
                         is(true));
             }
-            long completeCount = outcomes.stream().filter(Outcome::whole).count();
+            long completeCount = outcomes.stream().filter(Outcome::complete).count();
             assertThat("completed at most once: " + key, completeCount <= 1, is(true));
             assertThat("completed but not run: " + key, completeCount == 0 || run.contains(key), is(true));
         });
@@ -171,7 +171,7 @@
     private Future<Void> sendPrint(Driver[] drivers, String key, int router, int attempts) {
         return drivers[router].send(printItem(key)).compose(o -> {
             printsByKey.computeIfAbsent(key, k -> new ArrayList<>()).add(o);
-            boolean finished = o.whole() || o.errorType().equals("already_run") || attempts <= 1;
+            boolean finished = o.complete() || o.errorType().equals("already_run") || attempts <= 1;
             return finished ? Future.succeededFuture() : sendPrint(drivers, key, 1 - router, attempts - 1);
         });
     }
--- a/onyxhinge-tools/src/test/java/org/onyxhinge/tools/WholePathTest.java
+++ b/onyxhinge-tools/src/test/java/org/onyxhinge/tools/WholePathTest.java
@@ -64,7 +64,7 @@
         void streamsCompleteResponse() {
             Outcome o = send(new WorkItem(
                     0, "account-staff", "print-slot", "draft-letter", "campaign-1", 40, 12, 24, "", false));
-            assertThat(o.whole(), is(true));
+            assertThat(o.complete(), is(true));
             assertThat(o.tokens(), equalTo(24));
             assertThat(o.requestId(), containsString("r1-"));
         }
@@ -76,7 +76,7 @@
                     0, "printers-night", "print-slot", "print-instruction", "", 0, 20, 1, "env-0001", true);
             Outcome first = send(print);
             Outcome again = send(print);
-            assertThat(first.whole(), is(true));
+            assertThat(first.complete(), is(true));
             assertThat(again.status(), equalTo(409));
             assertThat(again.errorType(), equalTo("already_run"));
             assertThat(again.notRun(), is(true));
@@ -106,7 +106,7 @@
     private Outcome send(WorkItem item) {
         Outcome o = Launch.await(driver.send(item), TestSite.CALL_TIMEOUT_MS);
         transcript.add(item.service() + " ws=" + item.workspace() + " tier=" + item.tier() + " -> status=" + o.status()
-                + " whole=" + o.whole() + " tokens=" + o.tokens() + " error=" + o.errorType() + " notRun=" + o.notRun()
+                + " whole=" + o.complete() + " tokens=" + o.tokens() + " error=" + o.errorType() + " notRun=" + o.notRun()
                 + " text=" + o.text().replaceAll("r1-[a-z0-9]+-[0-9]+", "<id>"));
         return o;
     }
