--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/DecisionsCommand.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/DecisionsCommand.java
@@ -21,35 +21,35 @@
 import org.openjdk.jmh.runner.options.TimeValue;
 
 /**
- * {@code capacity decisions}: runs the JMH benchmarks behind the capacity page, writes their results as
- * CSV, and fails when one is past its bound in the bounds file, which the page's figures rely on.
+ * {@code capacity decisions}: runs the JMH benchmarks that docs/CAPACITY.md is based on, writes their results as
+ * CSV, and fails when a result exceeds its bound in the bounds file, because that page's figures rely on the bounds.
  */
 @Command(name = "decisions", description = "Measure the cost of decisions and messages, and check their bounds")
 public final class DecisionsCommand implements Runnable {
 
-    private static final String SECTION = "microseconds";
+    private static final String BOUNDS_SECTION = "microseconds";
 
     @Option(name = "--bounds", title = "FILE", description = "bounds file (default config/capacity-bounds.ini)")
-    private String bounds = "config/capacity-bounds.ini";
+    private String boundsFile = "config/capacity-bounds.ini";
 
-    @Option(name = "--out", title = "DIR", description = "where the results go (default out/capacity)")
-    private String out = "out/capacity";
+    @Option(name = "--out", title = "DIR", description = "output directory (default out/capacity)")
+    private String outputDir = "out/capacity";
 
     @Override
     public void run() {
         try {
-            Files.createDirectories(Path.of(out));
-            Map<String, Double> scores = scores(benchmarks());
-            Profile.Section limits = new Ini(Path.of(bounds).toFile()).get(SECTION);
-            if (!check(scores, limits)) {
-                Launch.fail(Launch.EXIT_FAILURE, "a slope that docs/CAPACITY.md relies on is past its bound");
+            Files.createDirectories(Path.of(outputDir));
+            Map<String, Double> scores = scores(runBenchmarks());
+            Profile.Section bounds = new Ini(Path.of(boundsFile).toFile()).get(BOUNDS_SECTION);
+            if (!checkBounds(scores, bounds)) {
+                Launch.fail(Launch.EXIT_FAILURE, "a benchmark that docs/CAPACITY.md relies on exceeded its bound");
             }
         } catch (IOException | RunnerException | IllegalArgumentException e) {
             Launch.fail(Launch.EXIT_FAILURE, e.getMessage());
         }
     }
 
-    private Collection<RunResult> benchmarks() throws RunnerException {
+    private Collection<RunResult> runBenchmarks() throws RunnerException {
         return new Runner(new OptionsBuilder()
                         .include(SchedulerBenchmark.class.getSimpleName())
                         .include(PeerCodecBenchmark.class.getSimpleName())
@@ -61,7 +61,7 @@
                         .measurementIterations(3)
                         .measurementTime(TimeValue.seconds(1))
                         .resultFormat(ResultFormatType.CSV)
-                        .result(Path.of(out, "decisions.csv").toString())
+                        .result(Path.of(outputDir, "decisions.csv").toString())
                         .build())
                 .run();
     }
@@ -69,13 +69,13 @@
     private static Map<String, Double> scores(Collection<RunResult> results) {
         Map<String, Double> scores = new TreeMap<>();
         for (RunResult r : results) {
-            scores.put(name(r.getParams()), r.getPrimaryResult().getScore());
+            scores.put(benchmarkKey(r.getParams()), r.getPrimaryResult().getScore());
         }
         return scores;
     }
 
-    /** For example {@code SchedulerBenchmark.tick engines-4 queued-0}. */
-    private static String name(BenchmarkParams params) {
+    /** Returns the key in the bounds file, such as {@code SchedulerBenchmark.tick engines-4 queued-0}. */
+    private static String benchmarkKey(BenchmarkParams params) {
         String[] parts = params.getBenchmark().split("\\.");
         StringBuilder name = new StringBuilder(parts[parts.length - 2] + "." + parts[parts.length - 1]);
         for (String key : params.getParamsKeys()) {
@@ -84,16 +84,16 @@
         return name.toString();
     }
 
-    private static boolean check(Map<String, Double> scores, Profile.Section limits) {
-        boolean within = true;
+    private static boolean checkBounds(Map<String, Double> scores, Profile.Section bounds) {
+        boolean allWithinBounds = true;
         for (Map.Entry<String, Double> score : scores.entrySet()) {
-            String limit = limits == null ? null : limits.get(score.getKey());
-            boolean past = limit != null && score.getValue() > Double.parseDouble(limit);
-            within &= !past;
+            String bound = bounds == null ? null : bounds.get(score.getKey());
+            boolean exceeded = bound != null && score.getValue() > Double.parseDouble(bound);
+            allWithinBounds &= !exceeded;
             System.out.printf(
                     "%-55s %9.3f us  bound %s%s%n",
-                    score.getKey(), score.getValue(), limit == null ? "none" : limit, past ? "  PAST" : "");
+                    score.getKey(), score.getValue(), bound == null ? "none" : bound, exceeded ? "  EXCEEDED" : "");
         }
-        return within;
+        return allWithinBounds;
     }
 }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/PeerCodecBenchmark.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/PeerCodecBenchmark.java
@@ -13,29 +13,27 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.State;
 
-/** Cost of encoding and decoding one load report against how many cached prefixes it names. */
+/** Cost of encoding and decoding one load report, by the number of cached prefixes it contains. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 public class PeerCodecBenchmark {
 
-    /** Prefix hashes in the report. */
+    /** Number of prefix hashes in the report. */
     @Param({"0", "8"})
     public int prefixes;
 
-    /** Encodes a report. */
     @Benchmark
     public byte[] encode() {
-        return PeerCodec.encode(report());
+        return PeerCodec.encode(createReport());
     }
 
-    /** Encodes a report and decodes it again. */
     @Benchmark
     public PeerMessage encodeAndDecode() {
-        return PeerCodec.decode(PeerCodec.encode(report()));
+        return PeerCodec.decode(PeerCodec.encode(createReport()));
     }
 
-    private PeerMessage report() {
+    private PeerMessage createReport() {
         List<Long> hashes = java.util.stream.LongStream.rangeClosed(1, prefixes)
                 .map(i -> i * 0x9E3779B97F4A7C15L)
                 .boxed()
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/PlacementBenchmark.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/PlacementBenchmark.java
@@ -22,8 +22,8 @@
 import org.openjdk.jmh.annotations.State;
 
 /**
- * Cost of the forwarder's decisions on one call, arrival to end, against the targets of its service and the calls
- * that wait for them. Without waiting calls half of the places are taken; with them all are.
+ * Cost of the placement decisions for one call, from submission to completion, by the number of targets of its
+ * service and the number of queued calls. Without queued calls half of the usable slots are occupied, otherwise all.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -33,13 +33,13 @@
     private static final String SERVICE = "writers";
     private static final int SLOTS = 9;
     private static final int PEERS = 5;
-    private static final long FAR_AWAY_MS = 1_000_000;
+    private static final long DISTANT_DEADLINE_MS = 1_000_000;
 
-    /** Targets of the service. */
+    /** Number of targets of the service. */
     @Param({"13", "64", "300"})
     public int targets;
 
-    /** Calls that wait at this router. */
+    /** Number of calls queued at this router. */
     @Param({"0", "64"})
     public int waiting;
 
@@ -47,7 +47,7 @@
     private final List<Verdict.Send> running = new ArrayList<>();
     private final long nowMs = 1_000;
 
-    /** Fills the targets and the queue. */
+    /** Occupies the targets and fills the queue. */
     @Setup(Level.Iteration)
     public void fill() {
         placement = Placement.create("dc-0");
@@ -63,9 +63,9 @@
             placement.peerUses("r" + p, uses);
             placement.peerWaiting("r" + p, Map.of(SERVICE, Map.of(2, waiting)));
         }
-        int places = targets * (SLOTS - 1);
-        int taken = waiting == 0 ? places / 2 : places;
-        for (int i = 0; i < taken; i++) {
+        int usableSlots = targets * (SLOTS - 1);
+        int occupiedSlots = waiting == 0 ? usableSlots / 2 : usableSlots;
+        for (int i = 0; i < occupiedSlots; i++) {
             if (placement.submit(call(), nowMs) instanceof Verdict.Send s) {
                 running.add(s);
             }
@@ -75,7 +75,7 @@
         }
     }
 
-    /** One call from its arrival to its end; with waiting calls another takes its place. */
+    /** Submits and ends one call; if calls are queued, one of them takes the freed slot. */
     @Benchmark
     public List<Verdict> submitAndEnd() {
         Verdict verdict = placement.submit(call(), nowMs);
@@ -93,7 +93,7 @@
     private Call call() {
         return Call.of(SERVICE, nowMs)
                 .rank(1, false)
-                .times(FAR_AWAY_MS, FAR_AWAY_MS)
+                .times(DISTANT_DEADLINE_MS, DISTANT_DEADLINE_MS)
                 .work(688, 49)
                 .build();
     }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/QuarantineBenchmark.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/QuarantineBenchmark.java
@@ -15,7 +15,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** What the quarantine costs each call: its fingerprint, two looks, and the note of its whole answer. */
+/** Per-call cost of the quarantine: the fingerprint, two lookups, and recording the complete answer. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -23,11 +23,11 @@
 
     private static final long NOW_MS = 1_000;
 
-    /** Size of the call's body: a short question, and a prompt of about 6,600 tokens. */
+    /** Size of the request body: a short question, and a prompt of about 6,600 tokens. */
     @Param({"200", "26000"})
     public int bodyBytes;
 
-    /** Requests that are suspects meanwhile. */
+    /** Number of other requests suspected of crashing targets. */
     @Param({"0", "1000"})
     public int suspects;
 
@@ -35,7 +35,7 @@
     private byte[] body;
     private int call;
 
-    /** Notes the suspects. */
+    /** Records a crash for each suspect. */
     @Setup(Level.Iteration)
     public void fill() {
         quarantine = Quarantine.create();
@@ -45,7 +45,7 @@
         body = new byte[bodyBytes];
     }
 
-    /** One call; each is another request. */
+    /** One call; the body changes each time, so that successive calls are different requests. */
     @Benchmark
     public boolean fingerprintAndLooks() {
         body[0] = (byte) call;
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/SchedulerBenchmark.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/SchedulerBenchmark.java
@@ -20,24 +20,24 @@
 import org.openjdk.jmh.annotations.State;
 
 /**
- * Cost of one request's decisions, submit to end, against how many engines of its pool the router
- * follows and how many requests wait in its queue. Half of each engine's slots are taken; with a queue
- * they are all taken and the request joins its end.
+ * Cost of the scheduling decisions for one request, from submission to completion, by the number of engines the
+ * router tracks in the pool and the queue length. With an empty queue half of the engine slots are occupied; otherwise
+ * all are, and the request joins the end of the queue.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 public class SchedulerBenchmark {
 
-    private static final int BATCH = 8;
+    private static final int MAX_BATCH = 8;
     private static final int FIRST_TOKEN_BUDGET_MS = 1_000_000;
     private static final Tier TIER = new Tier("gold", 1, FIRST_TOKEN_BUDGET_MS, 61, 10_000_000);
 
-    /** Engines of the pool the router follows. */
+    /** Number of engines the router tracks in the pool. */
     @Param({"4", "16", "64"})
     public int engines;
 
-    /** Requests waiting in the router's queue. */
+    /** Number of requests in the router's queue. */
     @Param({"0", "64", "256"})
     public int queued;
 
@@ -45,21 +45,21 @@
     private long nowMs;
     private long nextId;
 
-    /** Fills the engines and the queue. */
+    /** Occupies the engines and fills the queue. */
     @Setup(Level.Iteration)
     public void fill() {
         scheduler = Scheduler.create(SchedulerSettings.defaults());
         nowMs = 1_000;
         for (int i = 0; i < engines; i++) {
-            scheduler.engineJoined(new EngineInfo("e" + i, "p", "h", i, BATCH, 20_000, 50, false), nowMs);
+            scheduler.engineJoined(new EngineInfo("e" + i, "p", "h", i, MAX_BATCH, 20_000, 50, false), nowMs);
         }
-        int running = queued == 0 ? engines * BATCH / 2 : engines * BATCH;
+        int running = queued == 0 ? engines * MAX_BATCH / 2 : engines * MAX_BATCH;
         for (int i = 0; i < running + queued; i++) {
             scheduler.submit(spec(), Integer.MAX_VALUE, nowMs);
         }
     }
 
-    /** One request from submit to end. */
+    /** Submits and ends one request. */
     @Benchmark
     public List<Action> submitAndEnd() {
         RequestSpec spec = spec();
@@ -67,7 +67,7 @@
         return scheduler.ended(spec.requestId(), nowMs);
     }
 
-    /** The regular look at queues and deadlines. */
+    /** Runs the periodic check of queues and deadlines. */
     @Benchmark
     public List<Action> tick() {
         return scheduler.tick(nowMs);
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/TrafficCost.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/TrafficCost.java
@@ -20,13 +20,13 @@
 import org.onyxhinge.tools.load.WorkItem;
 
 /**
- * Measures on one router what a request in flight keeps on the heap, and what a request and a token
- * cost in processor time, from batches of requests of two lengths.
+ * Measures on one router the heap retained by a request in flight and the CPU time per request and per token,
+ * from batches of requests with two output lengths.
  */
 final class TrafficCost {
 
-    private static final long CALL_MS = 20_000;
-    private static final long BATCH_MS = 120_000;
+    private static final long CALL_TIMEOUT_MS = 20_000;
+    private static final long BATCH_TIMEOUT_MS = 120_000;
     private static final int SHORT_TOKENS = 10;
     private static final int LONG_TOKENS = 110;
     private static final int BUDGET_MS = 100_000;
@@ -45,7 +45,7 @@
         this.requests = requests;
     }
 
-    /** Configures the tier, workspace, pool and service the requests name. */
+    /** Creates the tier, workspace, pool and service used by the requests. */
     static void configure(Vertx vertx, int adminPort, String pool) {
         List<Message> setup = List.of(
                 PoolSpec.newBuilder().setName(pool).setModel("measured").build(),
@@ -65,34 +65,35 @@
                         .setPool(pool)
                         .build());
         try (AdminClient admin = AdminClient.create(vertx, "127.0.0.1", adminPort)) {
-            Launch.await(admin.apply(setup), CALL_MS);
+            Launch.await(admin.apply(setup), CALL_TIMEOUT_MS);
         }
     }
 
-    /** Runs the batches and prints the figures. */
+    /** Runs the batches and prints the results; the first batch of each length is a warm-up. */
     void measure() throws InterruptedException {
-        cpuOf(SHORT_TOKENS);
-        cpuOf(LONG_TOKENS);
-        double shortMs = cpuOf(SHORT_TOKENS);
-        double longMs = cpuOf(LONG_TOKENS);
+        measureCpuMs(SHORT_TOKENS);
+        measureCpuMs(LONG_TOKENS);
+        double shortMs = measureCpuMs(SHORT_TOKENS);
+        double longMs = measureCpuMs(LONG_TOKENS);
         double tokenUs = (longMs - shortMs) * US_PER_MS / requests / (LONG_TOKENS - SHORT_TOKENS);
         double requestUs = shortMs * US_PER_MS / requests - SHORT_TOKENS * tokenUs;
         System.out.printf(
-                "router cpu: %.0f us a request and %.1f us a token (batches of %d requests of %d and %d tokens)%n",
+                "router CPU: %.0f us per request and %.1f us per token (batches of %d requests of %d and %d tokens)%n",
                 requestUs, tokenUs, requests, SHORT_TOKENS, LONG_TOKENS);
-        System.out.printf("router heap: %.1f KB a request in flight (%d at once)%n", heapKbInFlight(), requests);
+        System.out.printf(
+                "router heap: %.1f KB per request in flight (%d in flight)%n", measureHeapKbPerRequest(), requests);
     }
 
-    private double cpuOf(int tokens) {
+    private double measureCpuMs(int tokens) {
         long before = usage().getLong("cpuMs");
-        all(send(tokens));
+        awaitAll(sendBatch(tokens));
         return usage().getLong("cpuMs") - before;
     }
 
-    private double heapKbInFlight() throws InterruptedException {
+    private double measureHeapKbPerRequest() throws InterruptedException {
         collectGarbage.run();
         long before = usage().getLong("heapBytes");
-        List<Future<Outcome>> sent = send(LONG_TOKENS);
+        List<Future<Outcome>> sent = sendBatch(LONG_TOKENS);
         while (state.get().getJsonObject("flights").stream()
                         .mapToInt(e -> (Integer) e.getValue())
                         .sum()
@@ -101,7 +102,7 @@
         }
         collectGarbage.run();
         long after = usage().getLong("heapBytes");
-        all(sent);
+        awaitAll(sent);
         return (after - before) / BYTES_PER_KB / requests;
     }
 
@@ -109,7 +110,7 @@
         return state.get().getJsonObject("usage");
     }
 
-    private List<Future<Outcome>> send(int tokens) {
+    private List<Future<Outcome>> sendBatch(int tokens) {
         List<Future<Outcome>> sent = new ArrayList<>();
         for (int i = 0; i < requests; i++) {
             sent.add(driver.send(
@@ -118,11 +119,11 @@
         return sent;
     }
 
-    private static void all(List<Future<Outcome>> sent) {
+    private static void awaitAll(List<Future<Outcome>> sent) {
         for (Future<Outcome> f : sent) {
-            Outcome o = Launch.await(f, BATCH_MS);
+            Outcome o = Launch.await(f, BATCH_TIMEOUT_MS);
             if (!o.whole()) {
-                throw new IllegalStateException("a request of the batch failed: " + o.errorType());
+                throw new IllegalStateException("request in batch failed: " + o.errorType());
             }
         }
     }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/package-info.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/capacity/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the capacity page is worked out from: cost of a decision and of a message (JMH), and what each
- * process takes while quiet, measured on small fleets of real processes.
+ * Measurements behind docs/CAPACITY.md: JMH benchmarks of decisions and messages, and the footprint of each
+ * process while idle and under traffic, measured on small fleets of real processes.
  */
 package org.onyxhinge.tools.capacity;
