--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/BaselineRouter.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/BaselineRouter.java
@@ -6,74 +6,75 @@
 import java.util.List;
 import java.util.Map;
 
-/** A router that sends every call on at once and leaves the waiting to the engines. */
+/** A router that forwards every call immediately, so that calls queue at the engines. */
 final class BaselineRouter implements SimRouter {
 
-    /** What a caller is told whom a full engine turned away; the baselines know nothing better. */
-    private static final double RETRY_MS = 1_000;
+    /** Retry delay for callers rejected by a full engine; the baselines have no better estimate. */
+    private static final double RETRY_AFTER_MS = 1_000;
 
     private final VirtualTime time;
     private final List<SimEngine> engines;
     private final boolean leastOutstanding;
     private final Map<SimEngine, Integer> outstanding = new HashMap<>();
-    private final Map<SimTry, SimEngine> sent = new IdentityHashMap<>();
-    private int next;
+    private final Map<SimAttempt, SimEngine> engineByAttempt = new IdentityHashMap<>();
+    private int nextIndex;
 
-    BaselineRouter(VirtualTime time, List<SimEngine> engines, boolean leastOutstanding, int first) {
+    BaselineRouter(VirtualTime time, List<SimEngine> engines, boolean leastOutstanding, int firstIndex) {
         this.time = time;
         this.engines = engines;
         this.leastOutstanding = leastOutstanding;
-        this.next = first;
+        this.nextIndex = firstIndex;
     }
 
     @Override
-    public void ask(SimTry t) {
+    public void submit(SimAttempt attempt) {
         SimEngine engine = leastOutstanding
                 ? engines.stream()
                         .min(Comparator.comparingInt(e -> outstanding.getOrDefault(e, 0)))
                         .orElseThrow()
-                : engines.get(next++ % engines.size());
+                : engines.get(nextIndex++ % engines.size());
         outstanding.merge(engine, 1, Integer::sum);
-        sent.put(t, engine);
-        time.after(FAR_MS, () -> {
-            if (sent.get(t) == engine && !engine.submit(t.run(), p -> time.after(FAR_MS, () -> heard(t, p)))) {
-                ended(t);
-                t.hears().refused(RETRY_MS);
+        engineByAttempt.put(attempt, engine);
+        time.after(REMOTE_DELAY_MS, () -> {
+            if (engineByAttempt.get(attempt) == engine
+                    && !engine.submit(attempt.run(), p -> time.after(REMOTE_DELAY_MS, () -> onProgress(attempt, p)))) {
+                release(attempt);
+                attempt.listener().refused(RETRY_AFTER_MS);
             }
         });
     }
 
-    private void heard(SimTry t, SimEngine.Progress progress) {
-        if (!sent.containsKey(t)) {
+    private void onProgress(SimAttempt attempt, SimEngine.Progress progress) {
+        if (!engineByAttempt.containsKey(attempt)) {
             return;
         }
         switch (progress) {
-            case EVENT -> t.hears().event();
-            case WHOLE -> {
-                ended(t);
-                t.hears().whole();
+            case EVENT -> attempt.listener().event();
+            case COMPLETED -> {
+                release(attempt);
+                attempt.listener().completed();
             }
-            case BROKEN -> {
-                ended(t);
-                t.hears().broken();
+            case FAILED -> {
+                release(attempt);
+                attempt.listener().failed();
             }
             default -> throw new IllegalStateException("unknown progress " + progress);
         }
     }
 
-    private void ended(SimTry t) {
-        SimEngine engine = sent.remove(t);
+    private void release(SimAttempt attempt) {
+        SimEngine engine = engineByAttempt.remove(attempt);
         if (engine != null) {
             outstanding.merge(engine, -1, Integer::sum);
         }
     }
 
     @Override
-    public void leave(SimTry t) {
-        SimEngine engine = sent.get(t);
-        ended(t);
+    public void cancel(SimAttempt attempt) {
+        SimEngine engine = engineByAttempt.get(attempt);
+        release(attempt);
         if (engine != null) {
-            time.after(FAR_MS, () -> engine.cancel(t.run()));
+            time.after(REMOTE_DELAY_MS, () -> engine.cancel(attempt.run()));
         }
     }
 }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/FleetPlot.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/FleetPlot.java
@@ -12,7 +12,7 @@
 import org.knowm.xchart.CategoryChartBuilder;
 import org.knowm.xchart.style.Styler;
 
-/** Draws a comparison of policies as PNG: for each pattern, the part of the worth that each policy earns. */
+/** Plots a comparison of policies as PNG: the fraction of the worth that each policy earns, by load pattern. */
 final class FleetPlot {
 
     private static final int WIDTH_PX = 1_000;
@@ -31,8 +31,8 @@
         CategoryChart chart = new CategoryChartBuilder()
                 .width(WIDTH_PX)
                 .height(HEIGHT_PX)
-                .title("worth earned, by pattern of load and policy")
-                .yAxisTitle("% of what all answers on time are worth")
+                .title("Worth earned by load pattern and policy")
+                .yAxisTitle("% of the worth of answering every request on time")
                 .build();
         chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideE);
         chart.getStyler().setYAxisMin(0.0).setYAxisMax(PERCENT);
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/FleetPolicy.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/FleetPolicy.java
@@ -6,22 +6,22 @@
 import org.onyxhinge.core.place.Mechanism;
 import org.onyxhinge.core.place.PlacementSettings;
 
-/** How routers place calls in a simulation: the product's placement, with mechanisms on or off, or a baseline. */
+/** How simulated routers place calls: by the production placement code, with mechanisms on or off, or by a baseline. */
 sealed interface FleetPolicy {
 
-    /** Its name in reports. */
+    /** Returns the policy's name in reports. */
     String label();
 
     /**
-     * The product's placement.
+     * The production placement code.
      *
-     * @param label its name
-     * @param settings mechanisms in use
-     * @param peers whether routers tell each other what they have running
+     * @param label name in reports
+     * @param settings enabled mechanisms
+     * @param peerUpdates whether routers send each other updates about their calls
      */
-    record Product(String label, PlacementSettings settings, boolean peers) implements FleetPolicy {}
+    record PlacementPolicy(String label, PlacementSettings settings, boolean peerUpdates) implements FleetPolicy {}
 
-    /** Each call goes to the next engine in turn; the engines keep the queues. */
+    /** Each call goes to the next engine in turn; calls queue at the engines. */
     record RoundRobin() implements FleetPolicy {
 
         @Override
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Each call goes to the engine where its router has the fewest; the engines keep the queues. */
+    /** Each call goes to the engine with the fewest calls from the same router; calls queue at the engines. */
     record LeastOutstanding() implements FleetPolicy {
 
         @Override
@@ -39,14 +39,15 @@
         }
     }
 
-    /** The landed policy, it without each of its mechanisms, and the baselines. */
+    /** Returns the current policy, variants with one mechanism or the peer updates disabled, and the baselines. */
     static List<FleetPolicy> all() {
         List<FleetPolicy> all = new ArrayList<>();
-        all.add(new Product("landed", PlacementSettings.defaults(), true));
+        all.add(new PlacementPolicy("landed", PlacementSettings.defaults(), true));
         for (Mechanism m : Mechanism.values()) {
-            all.add(new Product("no-" + m.label(), PlacementSettings.defaults().without(m), true));
+            all.add(new PlacementPolicy(
+                    "no-" + m.label(), PlacementSettings.defaults().without(m), true));
         }
-        all.add(new Product("no-peers", PlacementSettings.defaults(), false));
+        all.add(new PlacementPolicy("no-peers", PlacementSettings.defaults(), false));
         all.add(new RoundRobin());
         all.add(new LeastOutstanding());
         return List.copyOf(all);
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/FleetResult.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/FleetResult.java
@@ -3,50 +3,50 @@
 import java.util.List;
 
 /**
- * What came of one simulated run.
+ * The result of one simulated run.
  *
- * @param policy its policy's name
- * @param pattern its load
- * @param seed its seed
- * @param kinds what became of each kind of request
- * @param mostAtOnce most requests an engine had at once, against its slots
- * @param limitsUsed what each engine got that named a rate limit
+ * @param policy name of the policy
+ * @param pattern load pattern
+ * @param seed random seed
+ * @param kinds outcome counts for each kind of request
+ * @param maxLoadPerSlot highest number of concurrent requests at an engine, divided by its slots
+ * @param limitUsage requests received by each engine that advertised a rate limit
  */
 record FleetResult(
         String policy,
         LoadPattern pattern,
         long seed,
         List<KindTally> kinds,
-        double mostAtOnce,
-        List<LimitUse> limitsUsed) {
+        double maxLoadPerSlot,
+        List<LimitUsage> limitUsage) {
 
-    /** What was earned of what all requests on time would have earned. */
+    /** Returns the worth earned as a fraction of the worth of answering every request on time. */
     double worth() {
-        double earned = 0;
-        double owed = 0;
+        double earnedWorth = 0;
+        double possibleWorth = 0;
         for (KindTally k : kinds) {
-            earned += k.earned();
-            owed += k.owed();
+            earnedWorth += k.earnedWorth();
+            possibleWorth += k.possibleWorth();
         }
-        return owed == 0 ? 1 : earned / owed;
+        return possibleWorth == 0 ? 1 : earnedWorth / possibleWorth;
     }
 
-    /** Part of all requests that was answered whole, on time or late, once the engines had filled up. */
-    double answeredPart() {
-        return part(
-                kinds.stream().mapToInt(KindTally::settledAnswered).sum(),
-                kinds.stream().mapToInt(KindTally::settledAsked).sum());
+    /** Returns the fraction of requests sent after the warm-up that were answered completely, on time or late. */
+    double answeredFraction() {
+        return fraction(
+                kinds.stream().mapToInt(KindTally::answeredAfterWarmUp).sum(),
+                kinds.stream().mapToInt(KindTally::askedAfterWarmUp).sum());
     }
 
-    /** The same of the kind that was answered least often. */
-    double leastAnsweredPart() {
+    /** Returns the same fraction for the kind of request with the lowest one. */
+    double minAnsweredFraction() {
         return kinds.stream()
-                .mapToDouble(k -> part(k.settledAnswered(), k.settledAsked()))
+                .mapToDouble(k -> fraction(k.answeredAfterWarmUp(), k.askedAfterWarmUp()))
                 .min()
                 .orElse(1);
     }
 
-    private static double part(int some, int all) {
-        return all == 0 ? 1 : (double) some / all;
+    private static double fraction(int count, int total) {
+        return total == 0 ? 1 : (double) count / total;
     }
 }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/FleetSimulation.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/FleetSimulation.java
@@ -8,18 +8,18 @@
 import org.onyxhinge.core.engine.EngineSpec;
 import org.onyxhinge.core.place.Target;
 
-/** Plays one run of a site: a policy under a pattern of load. The same seed asks for the same requests. */
+/** Simulates one run of a site with a policy and a load pattern. The same seed gives the same requests. */
 final class FleetSimulation {
 
-    /** How often a router looks whether its peers are due a message. */
-    private static final double PEERS_CHECK_MS = 4;
+    /** How often a router checks whether an update to a peer is due. */
+    private static final double PEER_CHECK_INTERVAL_MS = 4;
 
     private static final double MS_PER_SECOND = 1_000;
 
     private static final double PERCENT = 100;
 
-    /** Workspaces' ranks go before routes' ranks, as in the router. */
-    private static final int RANKS_OF_ROUTES = 1_000;
+    /** Number of route ranks; a workspace's rank takes precedence over the route's, as in the router. */
+    private static final int ROUTE_RANKS = 1_000;
 
     private final VirtualTime time = new VirtualTime();
     private final FleetSpec spec;
@@ -37,136 +37,154 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Plays a run. */
-    static FleetResult play(FleetSpec spec, FleetPolicy policy, LoadPattern pattern, long seed) {
-        FleetSimulation s = new FleetSimulation(spec, policy, pattern, seed);
-        s.makeEngines();
-        s.makeRouters();
-        s.spec.kinds().forEach(s::askFor);
-        s.loseEngines();
-        s.limitEngines();
-        double longest =
+    static FleetResult simulate(FleetSpec spec, FleetPolicy policy, LoadPattern pattern, long seed) {
+        FleetSimulation simulation = new FleetSimulation(spec, policy, pattern, seed);
+        simulation.createEngines();
+        simulation.createRouters();
+        simulation.spec.kinds().forEach(simulation::scheduleRequests);
+        simulation.scheduleEngineLoss();
+        simulation.scheduleRateLimits();
+        double longestDeadlineMs =
                 spec.kinds().stream().mapToDouble(RequestKind::deadlineMs).max().orElse(0);
-        s.time.runUntil(LoadPattern.LENGTH_MS + longest);
-        double most = s.engines.stream()
-                .mapToDouble(e -> (double) e.mostAtOnce() / e.target().slots())
+        simulation.time.runUntil(LoadPattern.DURATION_MS + longestDeadlineMs);
+        double maxLoadPerSlot = simulation.engines.stream()
+                .mapToDouble(e -> (double) e.maxConcurrent() / e.target().slots())
                 .max()
                 .orElse(0);
-        return new FleetResult(policy.label(), pattern, seed, s.tallies, most, s.limitsUsed());
+        return new FleetResult(
+                policy.label(), pattern, seed, simulation.tallies, maxLoadPerSlot, simulation.limitUsage());
     }
 
     private String dataCentre(int i) {
         return "dc-" + i % spec.dataCentres();
     }
 
-    private void makeEngines() {
+    private void createEngines() {
         for (int i = 0; i < spec.engines(); i++) {
             EngineSpec engine = spec.engineAt(i);
             Target target = new Target(
-                    "e" + i, 0, ProductRouter.SERVICE, "10.0.0." + i, 1, dataCentre(i), engine.slots(), true, 0);
+                    "e" + i, 0, PlacementRouter.SERVICE, "10.0.0." + i, 1, dataCentre(i), engine.slots(), true, 0);
             engines.add(new SimEngine(time, target, engine));
         }
     }
 
-    private void makeRouters() {
+    private void createRouters() {
         for (int i = 0; i < spec.routers(); i++) {
             routers.add(
                     switch (policy) {
-                        case FleetPolicy.Product p ->
-                            new ProductRouter(time, "r" + i, dataCentre(i), p.settings(), engines, this::reserveSlot);
+                        case FleetPolicy.PlacementPolicy p ->
+                            new PlacementRouter(time, "r" + i, dataCentre(i), p.settings(), engines, this::reserveSlot);
                         case FleetPolicy.RoundRobin r -> new BaselineRouter(time, engines, false, i);
                         case FleetPolicy.LeastOutstanding l -> new BaselineRouter(time, engines, true, i);
                     });
         }
-        if (policy instanceof FleetPolicy.Product p && p.peers()) {
-            List<ProductRouter> all =
-                    routers.stream().map(ProductRouter.class::cast).toList();
+        if (policy instanceof FleetPolicy.PlacementPolicy p && p.peerUpdates()) {
+            List<PlacementRouter> all =
+                    routers.stream().map(PlacementRouter.class::cast).toList();
             for (int i = 0; i < all.size(); i++) {
-                ProductRouter from = all.get(i);
+                PlacementRouter from = all.get(i);
                 for (int j = 0; j < all.size(); j++) {
                     if (j != i) {
                         from.placement().routerSeen(all.get(j).id(), dataCentre(j));
                     }
                 }
-                from.tellLimits((incarnation, limit, atMs) -> all.stream()
+                from.setRateLimitListener((incarnation, limit, atMs) -> all.stream()
                         .filter(to -> to != from)
-                        .forEach(to -> time.after(PeerTalk.DELAY_MS, () -> to.limitHeard(incarnation, limit, atMs))));
-                PeerTalk talk = new PeerTalk(time, from, all);
-                time.every(PEERS_CHECK_MS * i / routers.size(), PEERS_CHECK_MS, talk::beat);
+                        .forEach(to -> time.after(
+                                PeerUpdateSender.DELAY_MS, () -> to.recordRateLimit(incarnation, limit, atMs))));
+                PeerUpdateSender sender = new PeerUpdateSender(time, from, all);
+                time.every(PEER_CHECK_INTERVAL_MS * i / routers.size(), PEER_CHECK_INTERVAL_MS, sender::sendDue);
             }
         }
     }
 
     private void reserveSlot(String routerId, String targetId) {
         for (SimRouter r : routers) {
-            if (r instanceof ProductRouter to && to.id().equals(routerId)) {
-                time.after(PeerTalk.DELAY_MS, () -> to.slotReserved(targetId));
+            if (r instanceof PlacementRouter to && to.id().equals(routerId)) {
+                time.after(PeerUpdateSender.DELAY_MS, () -> to.slotReserved(targetId));
             }
         }
     }
 
-    /** Requests of a kind come at random (a Poisson process), from each workspace on its own. */
-    private void askFor(RequestKind kind) {
+    /** Schedules the requests of a kind, an independent Poisson process for each workspace. */
+    private void scheduleRequests(RequestKind kind) {
         KindTally tally = new KindTally(kind, spec.sizes());
         tallies.add(tally);
-        double shares =
+        double totalShares =
                 spec.workspaces().stream().mapToDouble(WorkspaceShare::share).sum();
-        WorkspaceShare last = spec.workspaces().getLast();
-        for (WorkspaceShare w : spec.workspaces()) {
-            SplittableRandom own = random.split();
-            next(tally, w, kind.perSecond() * w.share() / shares, w == last, own);
+        WorkspaceShare lastWorkspace = spec.workspaces().getLast();
+        for (WorkspaceShare workspace : spec.workspaces()) {
+            SplittableRandom workspaceRandom = random.split();
+            scheduleNext(
+                    tally,
+                    workspace,
+                    kind.perSecond() * workspace.share() / totalShares,
+                    workspace == lastWorkspace,
+                    workspaceRandom);
         }
     }
 
-    private void next(KindTally tally, WorkspaceShare w, double perSecond, boolean last, SplittableRandom own) {
-        double rate = perSecond * pattern.factor(time.nowMs(), last);
-        time.after(own.nextExponential() * MS_PER_SECOND / rate, () -> {
-            if (time.nowMs() < LoadPattern.LENGTH_MS) {
-                ask(tally, w, own);
-                next(tally, w, perSecond, last, own);
+    private void scheduleNext(
+            KindTally tally,
+            WorkspaceShare workspace,
+            double perSecond,
+            boolean lastWorkspace,
+            SplittableRandom workspaceRandom) {
+        double currentPerSecond = perSecond * pattern.factor(time.nowMs(), lastWorkspace);
+        time.after(workspaceRandom.nextExponential() * MS_PER_SECOND / currentPerSecond, () -> {
+            if (time.nowMs() < LoadPattern.DURATION_MS) {
+                startCaller(tally, workspace, workspaceRandom);
+                scheduleNext(tally, workspace, perSecond, lastWorkspace, workspaceRandom);
             }
         });
     }
 
-    private void ask(KindTally tally, WorkspaceShare w, SplittableRandom own) {
+    private void startCaller(KindTally tally, WorkspaceShare workspace, SplittableRandom workspaceRandom) {
         RequestKind kind = tally.kind();
-        int prompt = spec.sizes().prompt(kind.promptTokens(), own);
-        int output = spec.sizes().output(kind.outputTokens(), own);
-        SplittableRandom way = own.split();
-        int expected = spec.sizes().estimate(output, own.split());
-        SimCaller.ask(
+        int prompt = spec.sizes().samplePrompt(kind.promptTokens(), workspaceRandom);
+        int output = spec.sizes().sampleOutput(kind.outputTokens(), workspaceRandom);
+        SplittableRandom routing = workspaceRandom.split();
+        int expected = spec.sizes().sampleEstimate(output, workspaceRandom.split());
+        SimCaller.start(
                 time,
                 tally,
-                w.rank() * RANKS_OF_ROUTES + kind.rank(),
+                workspace.rank() * ROUTE_RANKS + kind.rank(),
                 prompt,
                 output,
                 expected,
-                1 - way.nextDouble() * spec.patiencePercent() / PERCENT,
-                () -> routers.get(way.nextInt(routers.size())));
+                1 - routing.nextDouble() * spec.deadlineSpreadPercent() / PERCENT,
+                () -> routers.get(routing.nextInt(routers.size())));
     }
 
-    private void loseEngines() {
-        int lost = (int) Math.round(engines.size() * pattern.lostPart());
-        time.after(LoadPattern.LOST_FROM_MS, () -> engines.subList(0, lost).forEach(SimEngine::lose));
-        time.after(LoadPattern.LOST_UNTIL_MS, () -> engines.subList(0, lost).forEach(SimEngine::back));
+    private void scheduleEngineLoss() {
+        int lostEngines = (int) Math.round(engines.size() * pattern.lostFraction());
+        time.after(
+                LoadPattern.FAULT_START_MS,
+                () -> engines.subList(0, lostEngines).forEach(SimEngine::crash));
+        time.after(
+                LoadPattern.LOSS_END_MS, () -> engines.subList(0, lostEngines).forEach(SimEngine::recover));
     }
 
-    private List<SimEngine> limited() {
-        return engines.subList(0, (int) Math.round(engines.size() * pattern.limitedPart()));
+    private List<SimEngine> limitedEngines() {
+        return engines.subList(0, (int) Math.round(engines.size() * pattern.limitedFraction()));
     }
 
-    private void limitEngines() {
+    private void scheduleRateLimits() {
         OptionalDouble limit = OptionalDouble.of(LoadPattern.LIMIT_PER_SECOND);
-        time.after(LoadPattern.LOST_FROM_MS, () -> limited().forEach(e -> e.nameLimit(limit)));
-        time.after(LoadPattern.LIMITED_UNTIL_MS, () -> limited().forEach(e -> e.nameLimit(OptionalDouble.empty())));
+        time.after(LoadPattern.FAULT_START_MS, () -> limitedEngines().forEach(e -> e.advertiseLimit(limit)));
+        time.after(
+                LoadPattern.LIMIT_END_MS,
+                () -> limitedEngines().forEach(e -> e.advertiseLimit(OptionalDouble.empty())));
     }
 
-    /** What limited engines got, once all routers could know of it. */
-    private List<LimitUse> limitsUsed() {
-        double fromMs = LoadPattern.LOST_FROM_MS + LimitUse.KNOWN_WITHIN_MS;
-        double untilMs = LoadPattern.LIMITED_UNTIL_MS;
-        return limited().stream()
-                .map(e -> new LimitUse(e.mostWithin(LimitUse.WINDOW_MS, fromMs, untilMs), e.within(fromMs, untilMs)))
+    /** Returns the requests received by rate-limited engines after the limit has propagated to all routers. */
+    private List<LimitUsage> limitUsage() {
+        double fromMs = LoadPattern.FAULT_START_MS + LimitUsage.PROPAGATION_MS;
+        double untilMs = LoadPattern.LIMIT_END_MS;
+        return limitedEngines().stream()
+                .map(e -> new LimitUsage(
+                        e.maxArrivalsInWindow(LimitUsage.WINDOW_MS, fromMs, untilMs),
+                        e.arrivalsBetween(fromMs, untilMs)))
                 .toList();
     }
 }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/FleetSummary.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/FleetSummary.java
@@ -4,46 +4,48 @@
 import java.util.Locale;
 
 /**
- * Several runs of one policy under one pattern, with different seeds.
+ * Summary of the runs of one policy under one load pattern, with different seeds.
  *
- * @param policy the policy
- * @param pattern the pattern
- * @param worth mean part of the worth earned
- * @param worstWorth the worst seed's
- * @param onTimeByKind mean part of each kind answered on time
- * @param latePart part of all requests answered late
- * @param refusedPart part of all requests refused for good
- * @param heldMs how long a refused try had waited, on average
- * @param answeredPart part of all requests answered whole once the engines had filled up, on time or late
- * @param leastAnsweredPart the same of the kind answered least often, the worst seed's
- * @param worstLargePart the worst kind's part of the largest requests that were answered on time
- * @param worstLargeShare how often the largest requests were answered against all, of the kind where that is least
- * @param mostAtOnce most requests an engine had at once, against its slots
+ * @param policy name of the policy
+ * @param pattern load pattern
+ * @param worth mean fraction of the worth earned
+ * @param minWorth lowest fraction of the worth earned over all seeds
+ * @param onTimeByKind fraction of each kind answered on time
+ * @param lateFraction fraction of all requests answered late
+ * @param refusedFraction fraction of all requests refused without a further retry
+ * @param refusalWaitMs mean time a refused attempt had waited
+ * @param answeredFraction mean fraction of the requests sent after the warm-up that were answered completely, on time
+ *     or late
+ * @param minAnsweredFraction the same for the kind with the lowest fraction, lowest over all seeds
+ * @param minLargeOnTimeFraction fraction of the large requests answered on time, for the kind with the lowest fraction
+ * @param minLargeAnsweredRatio answered fraction of large requests divided by that of all requests, for the kind with
+ *     the lowest ratio over all seeds
+ * @param maxLoadPerSlot highest number of concurrent requests at an engine, divided by its slots
  */
 record FleetSummary(
         String policy,
         LoadPattern pattern,
         double worth,
-        double worstWorth,
-        List<KindShare> onTimeByKind,
-        double latePart,
-        double refusedPart,
-        double heldMs,
-        double answeredPart,
-        double leastAnsweredPart,
-        double worstLargePart,
-        double worstLargeShare,
-        double mostAtOnce) {
+        double minWorth,
+        List<KindFraction> onTimeByKind,
+        double lateFraction,
+        double refusedFraction,
+        double refusalWaitMs,
+        double answeredFraction,
+        double minAnsweredFraction,
+        double minLargeOnTimeFraction,
+        double minLargeAnsweredRatio,
+        double maxLoadPerSlot) {
 
     private static final double PERCENT = 100;
 
     /**
-     * A kind's part.
+     * Fraction of the requests of one kind.
      *
-     * @param kind its name
-     * @param part from 0 to 1
+     * @param kind name of the kind
+     * @param fraction fraction from 0 to 1
      */
-    record KindShare(String kind, double part) {}
+    record KindFraction(String kind, double fraction) {}
 
     static FleetSummary of(List<FleetResult> runs) {
         FleetResult first = runs.getFirst();
@@ -51,18 +53,18 @@
         int late = 0;
         int refused = 0;
         int refusals = 0;
-        double heldMs = 0;
+        double refusalWaitMs = 0;
         for (FleetResult r : runs) {
             for (KindTally k : r.kinds()) {
                 asked += k.asked();
                 late += k.late();
                 refused += k.refused();
                 refusals += k.refusals();
-                heldMs += k.heldMs();
+                refusalWaitMs += k.refusalWaitMs();
             }
         }
-        List<KindShare> kinds = first.kinds().stream()
-                .map(k -> new KindShare(k.kind().name(), onTimePart(runs, k.kind())))
+        List<KindFraction> kinds = first.kinds().stream()
+                .map(k -> new KindFraction(k.kind().name(), onTimeFraction(runs, k.kind())))
                 .toList();
         return new FleetSummary(
                 first.policy(),
@@ -72,31 +74,37 @@
                 kinds,
                 (double) late / Math.max(1, asked),
                 (double) refused / Math.max(1, asked),
-                heldMs / Math.max(1, refusals),
-                runs.stream().mapToDouble(FleetResult::answeredPart).average().orElse(1),
-                runs.stream().mapToDouble(FleetResult::leastAnsweredPart).min().orElse(1),
-                worstLarge(runs),
+                refusalWaitMs / Math.max(1, refusals),
+                runs.stream()
+                        .mapToDouble(FleetResult::answeredFraction)
+                        .average()
+                        .orElse(1),
+                runs.stream()
+                        .mapToDouble(FleetResult::minAnsweredFraction)
+                        .min()
+                        .orElse(1),
+                minLargeOnTime(runs),
                 runs.stream()
                         .flatMap(r -> r.kinds().stream())
-                        .mapToDouble(KindTally::largeAnsweredShare)
+                        .mapToDouble(KindTally::largeAnsweredRatio)
                         .min()
                         .orElse(1),
-                runs.stream().mapToDouble(FleetResult::mostAtOnce).max().orElse(0));
+                runs.stream().mapToDouble(FleetResult::maxLoadPerSlot).max().orElse(0));
     }
 
-    private static double worstLarge(List<FleetResult> runs) {
-        double worst = 1;
+    private static double minLargeOnTime(List<FleetResult> runs) {
+        double min = 1;
         for (int kind = 0; kind < runs.getFirst().kinds().size(); kind++) {
             double sum = 0;
             for (FleetResult r : runs) {
-                sum += r.kinds().get(kind).largeOnTimePart();
+                sum += r.kinds().get(kind).largeOnTimeFraction();
             }
-            worst = Math.min(worst, sum / runs.size());
+            min = Math.min(min, sum / runs.size());
         }
-        return worst;
+        return min;
     }
 
-    private static double onTimePart(List<FleetResult> runs, RequestKind kind) {
+    private static double onTimeFraction(List<FleetResult> runs, RequestKind kind) {
         int asked = 0;
         int onTime = 0;
         for (FleetResult r : runs) {
@@ -110,10 +118,11 @@
         return (double) onTime / Math.max(1, asked);
     }
 
-    /** One line of the table. */
-    String line() {
+    /** Formats the summary as one line of the table. */
+    String formatLine() {
         StringBuilder kinds = new StringBuilder();
-        onTimeByKind.forEach(k -> kinds.append(String.format(Locale.ROOT, " %s=%.1f%%", k.kind(), PERCENT * k.part())));
+        onTimeByKind.forEach(
+                k -> kinds.append(String.format(Locale.ROOT, " %s=%.1f%%", k.kind(), PERCENT * k.fraction())));
         return String.format(
                 Locale.ROOT,
                 "%-14s %-18s worth=%.1f%% worst=%.1f%% late=%.1f%% refused=%.1f%% held=%.0fms answered=%.1f%%"
@@ -122,15 +131,15 @@
                 pattern.label(),
                 policy,
                 PERCENT * worth,
-                PERCENT * worstWorth,
-                PERCENT * latePart,
-                PERCENT * refusedPart,
-                heldMs,
-                PERCENT * answeredPart,
-                PERCENT * leastAnsweredPart,
-                PERCENT * worstLargePart,
-                worstLargeShare,
-                mostAtOnce,
+                PERCENT * minWorth,
+                PERCENT * lateFraction,
+                PERCENT * refusedFraction,
+                refusalWaitMs,
+                PERCENT * answeredFraction,
+                PERCENT * minAnsweredFraction,
+                PERCENT * minLargeOnTimeFraction,
+                minLargeAnsweredRatio,
+                maxLoadPerSlot,
                 kinds);
     }
 }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/KindTally.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/KindTally.java
@@ -1,17 +1,20 @@
 package org.onyxhinge.tools.fleet;
 
-/** What became of one kind of request, by first tries. */
+/** Counts outcomes of one kind of request; a request counts once, however often it is retried. */
 final class KindTally {
 
-    /** About the largest tenth of a kind: its prompt weighs most, an output token counts ten times. */
-    private static final double LARGE_SIZE = 2;
+    /**
+     * Threshold for about the largest tenth of a kind, in multiples of the mean size. The prompt contributes most to
+     * the size, although an output token counts as ten prompt tokens.
+     */
+    private static final double LARGE_REQUEST_SIZE = 2;
 
     private final RequestKind kind;
-    private final SizeSpread sizes;
+    private final SizeDistribution sizes;
     private int refusals;
-    private double heldMs;
-    private double earned;
-    private double owed;
+    private double refusalWaitMs;
+    private double earnedWorth;
+    private double possibleWorth;
     private int largeAnswered;
     private int asked;
     private int largeAsked;
@@ -21,84 +24,85 @@
     private int refused;
     private int broken;
     private int refusedTwice;
-    private int settledAsked;
-    private int settledAnswered;
+    private int askedAfterWarmUp;
+    private int answeredAfterWarmUp;
 
-    KindTally(RequestKind kind, SizeSpread sizes) {
+    KindTally(RequestKind kind, SizeDistribution sizes) {
         this.kind = kind;
         this.sizes = sizes;
     }
 
     /**
-     * Notes a whole answer.
+     * Records a complete answer.
      *
-     * @param size prompt and output together, in means of the kind
-     * @param settled whether it was asked for once the engines had filled up
+     * @param size combined size of prompt and output relative to the mean of the kind
+     * @param afterWarmUp whether the request was sent after the warm-up
      */
-    void answered(boolean inTime, double size, boolean settled) {
-        settledAnswered += settled ? 1 : 0;
-        largeAnswered += size >= LARGE_SIZE ? 1 : 0;
-        earned += sizes.worth(size) * (inTime ? kind.worth() : kind.lateWorth());
+    void recordAnswer(boolean inTime, double size, boolean afterWarmUp) {
+        answeredAfterWarmUp += afterWarmUp ? 1 : 0;
+        largeAnswered += size >= LARGE_REQUEST_SIZE ? 1 : 0;
+        earnedWorth += sizes.worth(size) * (inTime ? kind.worth() : kind.lateWorth());
         if (inTime) {
             onTime++;
-            largeOnTime += size >= LARGE_SIZE ? 1 : 0;
+            largeOnTime += size >= LARGE_REQUEST_SIZE ? 1 : 0;
         } else {
             late++;
         }
     }
 
-    /** Notes a first try of a size, and whether the engines had filled up by then. */
-    void ask(double size, boolean settled) {
+    /** Records the first attempt of a request, with its relative size and whether it was sent after the warm-up. */
+    void recordRequest(double size, boolean afterWarmUp) {
         asked++;
-        owed += sizes.worth(size) * kind.worth();
-        settledAsked += settled ? 1 : 0;
-        largeAsked += size >= LARGE_SIZE ? 1 : 0;
+        possibleWorth += sizes.worth(size) * kind.worth();
+        askedAfterWarmUp += afterWarmUp ? 1 : 0;
+        largeAsked += size >= LARGE_REQUEST_SIZE ? 1 : 0;
     }
 
-    /** Part of the largest tenth that was answered on time. */
-    double largeOnTimePart() {
+    /** Returns the fraction of large requests that were answered on time. */
+    double largeOnTimeFraction() {
         return largeAsked == 0 ? 1 : (double) largeOnTime / largeAsked;
     }
 
-    /** Notes how long a try waited before it was refused. */
-    void held(double ms) {
+    /** Records a refused attempt and how long it had waited. */
+    void recordRefusal(double waitedMs) {
         refusals++;
-        heldMs += ms;
+        refusalWaitMs += waitedMs;
     }
 
-    /** Refusals, first ones and others. */
+    /** Returns the number of refused attempts, retries included. */
     int refusals() {
         return refusals;
     }
 
-    /** How long refused tries had waited, together. */
-    double heldMs() {
-        return heldMs;
+    /** Returns the total time that refused attempts had waited. */
+    double refusalWaitMs() {
+        return refusalWaitMs;
     }
 
-    /** What its answers earned. */
-    double earned() {
-        return earned;
+    /** Returns the worth earned by the answers. */
+    double earnedWorth() {
+        return earnedWorth;
     }
 
-    /** What all of it on time would have earned. */
-    double owed() {
-        return owed;
+    /** Returns the worth of answering every request on time. */
+    double possibleWorth() {
+        return possibleWorth;
     }
 
-    /** How often the largest were answered against all of the kind. */
-    double largeAnsweredShare() {
+    /** Returns the answered fraction of large requests divided by that of all requests of the kind. */
+    double largeAnsweredRatio() {
         int answered = onTime + late;
         return largeAsked == 0 || answered == 0 ? 1 : (double) largeAnswered * asked / largeAsked / answered;
     }
 
-    /** Notes a caller that was sent away for good; {@code again} when it had come back before. */
-    void refused(boolean again) {
+    /** Records a request that is not retried any more; {@code retried} if it had been retried. */
+    void recordFinalRefusal(boolean retried) {
         refused++;
-        refusedTwice += again ? 1 : 0;
+        refusedTwice += retried ? 1 : 0;
     }
 
-    void broken() {
+    /** Records a request whose answer was interrupted or that its caller abandoned. */
+    void recordBroken() {
         broken++;
     }
 
@@ -118,14 +122,14 @@
         return late;
     }
 
-    /** Asked for once the engines had filled up. */
-    int settledAsked() {
-        return settledAsked;
+    /** Returns the number of requests sent after the warm-up. */
+    int askedAfterWarmUp() {
+        return askedAfterWarmUp;
     }
 
-    /** Of those, answered whole, on time or late. */
-    int settledAnswered() {
-        return settledAnswered;
+    /** Returns how many of those were answered completely, on time or late. */
+    int answeredAfterWarmUp() {
+        return answeredAfterWarmUp;
     }
 
     int refused() {
@@ -136,7 +140,7 @@
         return refusedTwice;
     }
 
-    int brokenOff() {
+    int broken() {
         return broken;
     }
 }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/RequestKind.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/RequestKind.java
@@ -4,15 +4,15 @@
  * One kind of request of a site.
  *
  * @param name its name
- * @param rank its route's priority, 0 the most urgent
- * @param perSecond requests a second over the whole site
- * @param promptTokens mean length of a prompt
- * @param outputTokens mean length of an answer
- * @param targetLatencyMs time to the first event that is on time
- * @param gapTargetMs longest pause between events that is on time
- * @param deadlineMs how long a caller waits for the whole answer
- * @param worth what an answer on time is worth
- * @param lateWorth what a late one is worth
+ * @param rank priority of its route, 0 being the most urgent
+ * @param perSecond requests per second over the whole site
+ * @param promptTokens mean prompt length
+ * @param outputTokens mean answer length
+ * @param targetLatencyMs longest time to the first event of an answer that is on time
+ * @param gapTargetMs longest gap between events of an answer that is on time
+ * @param deadlineMs how long a caller waits for the complete answer
+ * @param worth worth of an answer on time
+ * @param lateWorth worth of a late answer
  */
 record RequestKind(
         String name,
@@ -26,13 +26,13 @@
         double worth,
         double lateWorth) {
 
-    /** Callers of streams leave after the longest of these without an event: 2 s, 4 latencies, 8 pauses. */
-    long patienceMs() {
+    /** Callers of streams give up after the longest of 2 s, 4 target latencies and 8 target gaps without an event. */
+    long idleTimeoutMs() {
         return Math.max(2_000, Math.max(4 * targetLatencyMs, 8 * gapTargetMs));
     }
 
-    /** The same kind, asked for more or less often. */
-    RequestKind times(double factor) {
+    /** Returns the same kind with its request rate multiplied by {@code factor}. */
+    RequestKind scaledBy(double factor) {
         return new RequestKind(
                 name,
                 rank,
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/SimCaller.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/SimCaller.java
@@ -7,19 +7,19 @@
 import org.onyxhinge.core.engine.PromptPart;
 
 /**
- * One request of a caller: asked once, asked again once if it was refused and there is time, and given up when
- * nothing comes for too long.
+ * One request of a caller: sent once, retried once if it was refused and its deadline allows, and abandoned when no
+ * event arrives for too long.
  */
-final class SimCaller implements SimTry.Listener {
+final class SimCaller implements SimAttempt.Listener {
 
-    /** Callers wait no longer than this part of what is left of their deadline before they come back. */
-    private static final double LONGEST_ABSENCE_PART = 1.0 / 3;
+    /** Maximum delay before a retry, as a fraction of the time remaining until the deadline. */
+    private static final double MAX_RETRY_DELAY_FRACTION = 1.0 / 3;
 
-    /** One way between a caller and its router. */
-    private static final double TO_ROUTER_MS = 1;
+    /** One-way delay between a caller and its router. */
+    private static final double ROUTER_DELAY_MS = 1;
 
-    /** What an output token counts in a request's size, as on the users' sheets. */
-    private static final double OUTPUT_WEIGHT = 10;
+    /** Weight of an output token relative to a prompt token in a request's size, as in the users' specifications. */
+    private static final double OUTPUT_TOKEN_WEIGHT = 10;
 
     private final VirtualTime time;
     private final KindTally tally;
@@ -28,18 +28,18 @@
     private final int promptTokens;
     private final int outputTokens;
     private final int expectedTokens;
-    private final Supplier<SimRouter> router;
-    /** Its deadline against the kind's. */
-    private final double patience;
-
-    private final double askedAtMs;
-    private SimRouter at;
-    private SimTry current;
-    private int tries;
-    private double heardAtMs;
+    private final Supplier<SimRouter> routerSupplier;
+    /** The request's deadline as a fraction of its kind's deadline. */
+    private final double deadlineFraction;
+
+    private final double startedAtMs;
+    private SimRouter currentRouter;
+    private SimAttempt currentAttempt;
+    private int attempts;
+    private double lastEventAtMs;
     private double longestGapMs;
     private double firstEventAtMs = -1;
-    private boolean over;
+    private boolean ended;
 
     private SimCaller(
             VirtualTime time,
@@ -48,9 +48,9 @@
             int promptTokens,
             int outputTokens,
             int expectedTokens,
-            double patience,
-            Supplier<SimRouter> router) {
-        this.patience = patience;
+            double deadlineFraction,
+            Supplier<SimRouter> routerSupplier) {
+        this.deadlineFraction = deadlineFraction;
         this.time = time;
         this.tally = tally;
         this.kind = tally.kind();
@@ -58,109 +58,109 @@
         this.promptTokens = promptTokens;
         this.outputTokens = outputTokens;
         this.expectedTokens = expectedTokens;
-        this.router = router;
-        this.askedAtMs = time.nowMs();
+        this.routerSupplier = routerSupplier;
+        this.startedAtMs = time.nowMs();
     }
 
     /**
-     * Asks now.
+     * Sends a request now.
      *
-     * @param expectedTokens what the caller says it expects of its answer's length; 0 for nothing
-     * @param patience its deadline against the kind's
-     * @param router gives the router of each try
+     * @param expectedTokens answer length stated by the caller; 0 for none
+     * @param deadlineFraction deadline as a fraction of the kind's deadline
+     * @param routerSupplier supplies the router for each attempt
      */
-    static void ask(
+    static void start(
             VirtualTime time,
             KindTally tally,
             int rank,
             int promptTokens,
             int outputTokens,
             int expectedTokens,
-            double patience,
-            Supplier<SimRouter> router) {
-        SimCaller caller =
-                new SimCaller(time, tally, rank, promptTokens, outputTokens, expectedTokens, patience, router);
-        tally.ask(caller.size(), caller.settled());
-        caller.attempt();
+            double deadlineFraction,
+            Supplier<SimRouter> routerSupplier) {
+        SimCaller caller = new SimCaller(
+                time, tally, rank, promptTokens, outputTokens, expectedTokens, deadlineFraction, routerSupplier);
+        tally.recordRequest(caller.size(), caller.afterWarmUp());
+        caller.sendAttempt();
     }
 
-    /** Its size against the mean of its kind, an output token counting as ten of the prompt. */
+    /** Returns the size relative to the mean of the kind, an output token counting as ten prompt tokens. */
     private double size() {
-        double mean = kind.promptTokens() + OUTPUT_WEIGHT * kind.outputTokens();
-        return (promptTokens + OUTPUT_WEIGHT * outputTokens) / mean;
+        double mean = kind.promptTokens() + OUTPUT_TOKEN_WEIGHT * kind.outputTokens();
+        return (promptTokens + OUTPUT_TOKEN_WEIGHT * outputTokens) / mean;
     }
 
-    private boolean settled() {
-        return askedAtMs >= LoadPattern.SETTLED_MS;
+    private boolean afterWarmUp() {
+        return startedAtMs >= LoadPattern.WARM_UP_MS;
     }
 
-    private double leftMs() {
-        return askedAtMs + kind.deadlineMs() * patience - time.nowMs();
+    private double remainingMs() {
+        return startedAtMs + kind.deadlineMs() * deadlineFraction - time.nowMs();
     }
 
-    private void attempt() {
-        tries++;
-        at = router.get();
-        heardAtMs = time.nowMs();
-        EngineRun run = EngineRun.of(List.of(new PromptPart(time.made(), promptTokens)), outputTokens);
-        SimTry t = new SimTry(kind, rank, run, promptTokens, expectedTokens, (long) leftMs(), this);
-        current = t;
-        time.after(TO_ROUTER_MS, () -> at.ask(t));
-        watch(t);
+    private void sendAttempt() {
+        attempts++;
+        currentRouter = routerSupplier.get();
+        lastEventAtMs = time.nowMs();
+        EngineRun run = EngineRun.of(List.of(new PromptPart(time.eventsCreated(), promptTokens)), outputTokens);
+        SimAttempt attempt = new SimAttempt(kind, rank, run, promptTokens, expectedTokens, (long) remainingMs(), this);
+        currentAttempt = attempt;
+        time.after(ROUTER_DELAY_MS, () -> currentRouter.submit(attempt));
+        scheduleTimeoutCheck(attempt);
     }
 
-    /** Gives the try up once nothing has come for as long as a caller bears it. */
-    private void watch(SimTry t) {
-        double silentMs = time.nowMs() - heardAtMs;
-        double untilMs = Math.min(kind.patienceMs() - silentMs, leftMs());
-        time.after(Math.max(1, untilMs), () -> {
-            if (over || current != t) {
+    /** Abandons the attempt when the idle timeout or the deadline has passed. */
+    private void scheduleTimeoutCheck(SimAttempt attempt) {
+        double idleMs = time.nowMs() - lastEventAtMs;
+        double timeoutMs = Math.min(kind.idleTimeoutMs() - idleMs, remainingMs());
+        time.after(Math.max(1, timeoutMs), () -> {
+            if (ended || currentAttempt != attempt) {
                 return;
             }
-            if (time.nowMs() - heardAtMs >= kind.patienceMs() || leftMs() <= 0) {
-                over = true;
-                at.leave(t);
-                tally.broken();
+            if (time.nowMs() - lastEventAtMs >= kind.idleTimeoutMs() || remainingMs() <= 0) {
+                ended = true;
+                currentRouter.cancel(attempt);
+                tally.recordBroken();
             } else {
-                watch(t);
+                scheduleTimeoutCheck(attempt);
             }
         });
     }
 
     @Override
     public void refused(double retryAfterMs) {
-        tally.held(time.nowMs() - heardAtMs);
-        current = null;
-        double backInMs = Math.min(retryAfterMs, leftMs() * LONGEST_ABSENCE_PART) + 2 * TO_ROUTER_MS;
-        if (tries > 1 || backInMs >= leftMs()) {
-            over = true;
-            tally.refused(tries > 1);
+        tally.recordRefusal(time.nowMs() - lastEventAtMs);
+        currentAttempt = null;
+        double retryInMs = Math.min(retryAfterMs, remainingMs() * MAX_RETRY_DELAY_FRACTION) + 2 * ROUTER_DELAY_MS;
+        if (attempts > 1 || retryInMs >= remainingMs()) {
+            ended = true;
+            tally.recordFinalRefusal(attempts > 1);
         } else {
-            time.after(backInMs, this::attempt);
+            time.after(retryInMs, this::sendAttempt);
         }
     }
 
     @Override
     public void event() {
-        double nowMs = time.nowMs() + TO_ROUTER_MS;
+        double nowMs = time.nowMs() + ROUTER_DELAY_MS;
         if (firstEventAtMs < 0) {
             firstEventAtMs = nowMs;
         } else {
-            longestGapMs = Math.max(longestGapMs, nowMs - heardAtMs);
+            longestGapMs = Math.max(longestGapMs, nowMs - lastEventAtMs);
         }
-        heardAtMs = nowMs;
+        lastEventAtMs = nowMs;
     }
 
     @Override
-    public void whole() {
-        over = true;
-        boolean first = firstEventAtMs - askedAtMs <= kind.targetLatencyMs();
-        tally.answered(first && longestGapMs <= kind.gapTargetMs(), size(), settled());
+    public void completed() {
+        ended = true;
+        boolean firstEventOnTime = firstEventAtMs - startedAtMs <= kind.targetLatencyMs();
+        tally.recordAnswer(firstEventOnTime && longestGapMs <= kind.gapTargetMs(), size(), afterWarmUp());
     }
 
     @Override
-    public void broken() {
-        over = true;
-        tally.broken();
+    public void failed() {
+        ended = true;
+        tally.recordBroken();
     }
 }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/SimEngine.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/SimEngine.java
@@ -14,7 +14,7 @@
 import org.onyxhinge.core.engine.EngineStep;
 import org.onyxhinge.core.place.Target;
 
-/** An engine model in virtual time. */
+/** An engine model driven by virtual time. */
 final class SimEngine {
 
     private final VirtualTime time;
@@ -23,15 +23,15 @@
     private final Map<EngineRun, Consumer<Progress>> listeners = new IdentityHashMap<>();
     private boolean stepping;
     private final List<Double> arrivalsAtMs = new ArrayList<>();
-    private boolean lost;
-    private int mostAtOnce;
+    private boolean crashed;
+    private int maxConcurrent;
     private OptionalDouble limitPerSecond = OptionalDouble.empty();
 
-    /** What a run's caller hears. */
+    /** Progress of a run, as reported to its listener. */
     enum Progress {
         EVENT,
-        WHOLE,
-        BROKEN
+        COMPLETED,
+        FAILED
     }
 
     SimEngine(VirtualTime time, Target target, EngineSpec spec) {
@@ -48,13 +48,13 @@
         return model;
     }
 
-    /** Most requests it had at once, those that waited for a slot included. */
-    int mostAtOnce() {
-        return mostAtOnce;
+    /** Returns the highest number of concurrent requests, including those queued for a slot. */
+    int maxConcurrent() {
+        return maxConcurrent;
     }
 
-    /** Names a rate limit in every answer that begins from now on; empty for none. */
-    void nameLimit(OptionalDouble perSecond) {
+    /** Advertises a rate limit in every answer that begins from now on; empty for none. */
+    void advertiseLimit(OptionalDouble perSecond) {
         limitPerSecond = perSecond;
     }
 
@@ -62,29 +62,29 @@
         return limitPerSecond;
     }
 
-    /** Requests that reached it within a span. */
-    int within(double fromMs, double untilMs) {
+    /** Returns the number of requests that arrived in a time span. */
+    int arrivalsBetween(double fromMs, double untilMs) {
         return (int)
                 arrivalsAtMs.stream().filter(at -> at >= fromMs && at < untilMs).count();
     }
 
-    /** The most requests that reached it within any window of a span. */
-    int mostWithin(double windowMs, double fromMs, double untilMs) {
+    /** Returns the highest number of requests that arrived in any window of a time span. */
+    int maxArrivalsInWindow(double windowMs, double fromMs, double untilMs) {
         return arrivalsAtMs.stream()
                 .filter(at -> at >= fromMs && at < untilMs)
-                .mapToInt(at -> within(at, Math.min(at + windowMs, untilMs)))
+                .mapToInt(at -> arrivalsBetween(at, Math.min(at + windowMs, untilMs)))
                 .max()
                 .orElse(0);
     }
 
-    /** Takes a request; false when it is not run. */
+    /** Submits a request; returns false if it is not run. */
     boolean submit(EngineRun run, Consumer<Progress> listener) {
         arrivalsAtMs.add(time.nowMs());
-        if (lost || !model.submit(run)) {
+        if (crashed || !model.submit(run)) {
             return false;
         }
         listeners.put(run, listener);
-        mostAtOnce = Math.max(mostAtOnce, model.running() + model.waiting());
+        maxConcurrent = Math.max(maxConcurrent, model.running() + model.waiting());
         if (!stepping) {
             step();
         }
@@ -96,21 +96,21 @@
         model.cancel(run);
     }
 
-    /** Ends all its work at once, as a crash does; it takes nothing until {@link #back}. */
-    void lose() {
-        lost = true;
-        Map<EngineRun, Consumer<Progress>> cut = new IdentityHashMap<>(listeners);
-        cut.keySet().forEach(this::cancel);
-        cut.values().forEach(l -> l.accept(Progress.BROKEN));
+    /** Simulates a crash: all runs fail, and requests are rejected until {@link #recover}. */
+    void crash() {
+        crashed = true;
+        Map<EngineRun, Consumer<Progress>> interrupted = new IdentityHashMap<>(listeners);
+        interrupted.keySet().forEach(this::cancel);
+        interrupted.values().forEach(l -> l.accept(Progress.FAILED));
     }
 
-    /** True while it takes nothing. */
-    boolean lost() {
-        return lost;
+    /** Returns true between a crash and the recovery. */
+    boolean crashed() {
+        return crashed;
     }
 
-    void back() {
-        lost = false;
+    void recover() {
+        crashed = false;
     }
 
     private void step() {
@@ -118,9 +118,9 @@
         stepping = step.durationMs() > 0;
         if (stepping) {
             time.after(step.durationMs(), () -> {
-                step.events().forEach(run -> tell(run, Progress.EVENT));
+                step.events().forEach(run -> notifyListener(run, Progress.EVENT));
                 step.ended().forEach(run -> {
-                    tell(run, Progress.WHOLE);
+                    notifyListener(run, Progress.COMPLETED);
                     listeners.remove(run);
                 });
                 step();
@@ -128,7 +128,7 @@
         }
     }
 
-    private void tell(EngineRun run, Progress progress) {
+    private void notifyListener(EngineRun run, Progress progress) {
         Optional.ofNullable(listeners.get(run)).ifPresent(l -> l.accept(progress));
     }
 }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/SimRouter.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/SimRouter.java
@@ -1,17 +1,17 @@
 package org.onyxhinge.tools.fleet;
 
-/** A router of a simulation. */
-sealed interface SimRouter permits ProductRouter, BaselineRouter {
+/** A simulated router. */
+sealed interface SimRouter permits PlacementRouter, BaselineRouter {
 
-    /** One way between two data centres and within one, in ms, as on the users' sheets. */
-    double FAR_MS = 0.9;
+    /** One-way delay between two data centres in ms, as in the users' specifications. */
+    double REMOTE_DELAY_MS = 0.9;
 
-    /** One way within a data centre, in ms. */
-    double NEAR_MS = 0.1;
+    /** One-way delay within a data centre in ms, as in the users' specifications. */
+    double LOCAL_DELAY_MS = 0.1;
 
-    /** Takes a caller's try. */
-    void ask(SimTry t);
+    /** Accepts an attempt of a caller. */
+    void submit(SimAttempt attempt);
 
-    /** The caller of a try has left. */
-    void leave(SimTry t);
+    /** Cancels an attempt whose caller has given up. */
+    void cancel(SimAttempt attempt);
 }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/SimulateCommand.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/SimulateCommand.java
@@ -19,8 +19,8 @@
 import org.onyxhinge.runtime.Settings;
 
 /**
- * {@code load simulate}: plays a site in virtual time and compares policies under patterns of load, with the
- * same requests for each policy. Prints a table and writes it as CSV and as a plot.
+ * {@code load simulate}: simulates a site in virtual time and compares policies under load patterns, with the same
+ * requests for each policy. Prints a table and writes the results as CSV and as a plot.
  */
 @Command(name = "simulate", description = "Compare placement policies on a simulated fleet")
 public final class SimulateCommand implements Runnable {
@@ -50,24 +50,24 @@
             description = "the site's INI file (default examples/kingston/fleet.ini)")
     private String site = "examples/kingston/fleet.ini";
 
-    @Option(name = "--patterns", title = "LIST", description = "patterns of load (default all)")
+    @Option(name = "--patterns", title = "LIST", description = "comma-separated load patterns (default all)")
     private String patterns = String.join(",", LoadPattern.labels());
 
-    @Option(name = "--policies", title = "LIST", description = "policies (default all)")
+    @Option(name = "--policies", title = "LIST", description = "comma-separated policies (default all)")
     private String policies =
             String.join(",", FleetPolicy.all().stream().map(FleetPolicy::label).toList());
 
-    @Option(name = "--seeds", title = "N", description = "seeds, 1 to N (default 5)")
+    @Option(name = "--seeds", title = "N", description = "run with the seeds 1 to N (default 5)")
     private int seeds = 5;
 
     @Option(
             name = "--routers",
             title = "N",
             description =
-                    "play the site with N routers, and engines and requests in proportion (default as in the file)")
+                    "simulate N routers, with engines and requests scaled in proportion (default as in the site file)")
     private int routers;
 
-    @Option(name = "--out", title = "DIR", description = "where the report goes (default out/simulate)")
+    @Option(name = "--out", title = "DIR", description = "output directory (default out/simulate)")
     private String out = "out/simulate";
 
     @Override
@@ -75,7 +75,7 @@
         try {
             FleetSpec spec = Settings.load(Path.of(site))
                     .flatMap(FleetSpec::read)
-                    .map(read -> routers == 0 ? read : read.grownTo(routers))
+                    .map(siteSpec -> routers == 0 ? siteSpec : siteSpec.scaledTo(routers))
                     .getOrElseThrow(e -> new IllegalArgumentException(e.getMessage()));
             if (routers < 0 || routers > MAX_ROUTERS) {
                 throw new IllegalArgumentException("--routers must be 1.." + MAX_ROUTERS);
@@ -83,7 +83,7 @@
             if (seeds < 1 || seeds > MAX_SEEDS) {
                 throw new IllegalArgumentException("--seeds must be 1.." + MAX_SEEDS);
             }
-            List<FleetPolicy> chosen = chosen(
+            List<FleetPolicy> selectedPolicies = select(
                     "--policies",
                     policies,
                     label -> FleetPolicy.all().stream()
@@ -91,20 +91,20 @@
                             .findFirst());
             List<FleetSummary> summaries = new ArrayList<>();
             List<FleetResult> results = new ArrayList<>();
-            for (LoadPattern pattern : chosen("--patterns", patterns, LoadPattern::ofLabel)) {
-                for (FleetPolicy policy : chosen) {
-                    List<FleetResult> played = IntStream.rangeClosed(1, seeds)
+            for (LoadPattern pattern : select("--patterns", patterns, LoadPattern::ofLabel)) {
+                for (FleetPolicy policy : selectedPolicies) {
+                    List<FleetResult> runs = IntStream.rangeClosed(1, seeds)
                             .parallel()
-                            .mapToObj(seed -> FleetSimulation.play(spec, policy, pattern, seed))
+                            .mapToObj(seed -> FleetSimulation.simulate(spec, policy, pattern, seed))
                             .toList();
-                    results.addAll(played);
-                    FleetSummary summary = FleetSummary.of(played);
+                    results.addAll(runs);
+                    FleetSummary summary = FleetSummary.of(runs);
                     summaries.add(summary);
-                    System.out.println(summary.line());
+                    System.out.println(summary.formatLine());
                 }
             }
             Path dir = Files.createDirectories(Path.of(out));
-            write(dir.resolve("simulation.csv"), results);
+            writeCsv(dir.resolve("simulation.csv"), results);
             FleetPlot.write(dir.resolve("simulation.png"), summaries);
             System.out.printf("%nwrote %s and simulation.png%n", dir.resolve("simulation.csv"));
         } catch (IOException | IllegalArgumentException e) {
@@ -112,7 +112,7 @@
         }
     }
 
-    private static <T> List<T> chosen(String option, String list, Function<String, Optional<T>> byLabel) {
+    private static <T> List<T> select(String option, String list, Function<String, Optional<T>> byLabel) {
         return Arrays.stream(list.split(","))
                 .map(String::trim)
                 .map(label -> byLabel.apply(label)
@@ -120,7 +120,7 @@
                 .toList();
     }
 
-    private static void write(Path file, List<FleetResult> results) throws IOException {
+    private static void writeCsv(Path file, List<FleetResult> results) throws IOException {
         try (Writer w = Files.newBufferedWriter(file);
                 CSVPrinter csv = new CSVPrinter(w, CSV)) {
             for (FleetResult r : results) {
@@ -135,8 +135,8 @@
                             k.late(),
                             k.refused(),
                             k.refusedTwice(),
-                            k.brokenOff(),
-                            String.format("%.2f", r.mostAtOnce()));
+                            k.broken(),
+                            String.format("%.2f", r.maxLoadPerSlot()));
                 }
             }
         }
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/VirtualTime.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/VirtualTime.java
@@ -3,35 +3,35 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** The clock and the events of a simulation: events run in order of their time, then of their making. */
+/** The clock and event queue of a simulation. Events run in order of time; ties run in order of creation. */
 final class VirtualTime {
 
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::number));
+            new PriorityQueue<>(Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::sequence));
     private double nowMs;
-    private long made;
+    private long eventsCreated;
 
-    private record Event(double atMs, long number, Runnable action) {}
+    private record Event(double atMs, long sequence, Runnable action) {}
 
     double nowMs() {
         return nowMs;
     }
 
-    /** The time as the product's code takes it. */
-    long wholeMs() {
+    /** Returns the time in whole milliseconds, as the placement code expects it. */
+    long nowMillis() {
         return (long) nowMs;
     }
 
     void after(double delayMs, Runnable action) {
-        events.add(new Event(nowMs + Math.max(0, delayMs), made++, action));
+        events.add(new Event(nowMs + Math.max(0, delayMs), eventsCreated++, action));
     }
 
-    /** Events made so far; each call of {@link #after} makes a number that is used once. */
-    long made() {
-        return made;
+    /** Returns the number of events created so far. {@link #after} increments it, so it also serves as a unique id. */
+    long eventsCreated() {
+        return eventsCreated;
     }
 
-    /** Runs an action again and again, first after {@code delayMs}. */
+    /** Runs an action periodically, first after {@code delayMs}. */
     void every(double delayMs, double periodMs, Runnable action) {
         after(delayMs, () -> {
             action.run();
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/WorkspaceShare.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/WorkspaceShare.java
@@ -1,10 +1,10 @@
 package org.onyxhinge.tools.fleet;
 
 /**
- * A workspace's part of the load.
+ * A workspace's share of the load.
  *
  * @param name its name
- * @param share its part of the requests, relative to the others'
- * @param rank its priority, which goes before its routes'
+ * @param share its share of the requests, relative to the shares of the other workspaces
+ * @param rank its priority, which takes precedence over the priority of a route
  */
 record WorkspaceShare(String name, double share, int rank) {}
--- a/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/package-info.java
+++ b/onyxhinge-tools/src/main/java/org/onyxhinge/tools/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A simulation of a fleet: callers, routers with the product's own placement, and engine models, played in
- * virtual time. It shows in seconds what a policy does under a pattern of load, with many seeds.
+ * Simulation of a fleet in virtual time, with callers, routers that use the production placement code, and engine
+ * models. It compares policies under load patterns within seconds, over many seeds.
  */
 package org.onyxhinge.tools.fleet;
--- a/onyxhinge-tools/src/test/java/org/onyxhinge/tools/fleet/FleetSimulationTest.java
+++ b/onyxhinge-tools/src/test/java/org/onyxhinge/tools/fleet/FleetSimulationTest.java
@@ -17,8 +17,8 @@
 import static org.hamcrest.Matchers.lessThan;
 
 /**
- * The heaviest patterns of load of the users' sites, in virtual time on engine models. The bounds are what six
- * seeds gave, with about a third of the difference as margin.
+ * The heaviest load patterns of the users' sites, in virtual time on engine models. The bounds are the results of six
+ * seeds, with about a third of the difference as margin.
  */
 class FleetSimulationTest {
 
@@ -42,113 +42,116 @@
                 .orElseThrow();
     }
 
-    private static FleetSummary play(String site, String policy, LoadPattern pattern) {
+    private static FleetSummary simulate(String site, String policy, LoadPattern pattern) {
         FleetSpec spec = site(site);
         return FleetSummary.of(LongStream.rangeClosed(1, SEEDS)
                 .parallel()
-                .mapToObj(seed -> FleetSimulation.play(spec, policy(policy), pattern, seed))
+                .mapToObj(seed -> FleetSimulation.simulate(spec, policy(policy), pattern, seed))
                 .toList());
     }
 
     private static double onTime(FleetSummary s, int kind) {
-        return s.onTimeByKind().get(kind).part();
+        return s.onTimeByKind().get(kind).fraction();
     }
 
     @Test
-    void theSameSeedGivesTheSameRun() {
-        FleetSummary first = play("postvirki", "landed", LoadPattern.BURST);
-        assertThat(play("postvirki", "landed", LoadPattern.BURST), is(first));
+    void sameSeedGivesSameResult() {
+        FleetSummary first = simulate("postvirki", "landed", LoadPattern.BURST);
+        assertThat(simulate("postvirki", "landed", LoadPattern.BURST), is(first));
     }
 
     @Nested
     class Patterns {
 
         @Test
-        void atTheUsualLoadNearlyAllIsOnTime() {
+        void steadyLoadEarnsNearlyAllWorth() {
             for (String site : SITES) {
-                assertThat(site, play(site, "landed", LoadPattern.STEADY).worth(), greaterThan(0.97));
+                assertThat(site, simulate(site, "landed", LoadPattern.STEADY).worth(), greaterThan(0.97));
             }
         }
 
         @Test
-        void inTheHeaviestHoursMoreIsEarnedThanByTheBaselines() {
+        void heaviestLoadEarnsMoreThanBaselines() {
             for (String site : SITES) {
-                double landed = play(site, "landed", LoadPattern.HEAVIEST).worth();
+                double landed = simulate(site, "landed", LoadPattern.HEAVIEST).worth();
                 assertThat(site, landed, greaterThan(0.6));
                 assertThat(
                         site,
                         landed,
-                        greaterThan(
-                                play(site, "round-robin", LoadPattern.HEAVIEST).worth() + 0.1));
+                        greaterThan(simulate(site, "round-robin", LoadPattern.HEAVIEST)
+                                        .worth()
+                                + 0.1));
                 assertThat(
                         site,
                         landed,
-                        greaterThan(play(site, "least-outstanding", LoadPattern.HEAVIEST)
+                        greaterThan(simulate(site, "least-outstanding", LoadPattern.HEAVIEST)
                                         .worth()
                                 + 0.1));
             }
         }
 
         @Test
-        void besideAHotWorkspaceTheOthersMostUrgentCallsStayOnTime() {
-            FleetSummary with = play("kingston", "landed", LoadPattern.HOT_WORKSPACE);
-            FleetSummary without = play("kingston", "no-hand-over", LoadPattern.HOT_WORKSPACE);
+        void mostUrgentCallsStayOnTimeBesideHotWorkspace() {
+            FleetSummary with = simulate("kingston", "landed", LoadPattern.HOT_WORKSPACE);
+            FleetSummary without = simulate("kingston", "no-hand-over", LoadPattern.HOT_WORKSPACE);
             assertThat(onTime(with, 0), greaterThan(0.97));
             assertThat(onTime(with, 0), greaterThan(onTime(without, 0) + 0.02));
         }
 
         @Test
-        void whileAQuarterOfTheEnginesIsLostMostIsStillOnTime() {
+        void mostRequestsStayOnTimeDuringEngineLoss() {
             for (String site : SITES) {
-                assertThat(site, play(site, "landed", LoadPattern.ENGINE_LOSS).worth(), greaterThan(0.85));
+                assertThat(
+                        site, simulate(site, "landed", LoadPattern.ENGINE_LOSS).worth(), greaterThan(0.85));
             }
         }
 
         @Test
-        void routersThatTellEachOtherDoNotFloodAnEngine() {
-            FleetSummary with = play("kingston", "landed", LoadPattern.HOT_WORKSPACE);
-            FleetSummary without = play("kingston", "no-peers", LoadPattern.HOT_WORKSPACE);
-            assertThat(with.mostAtOnce(), lessThan(2.5));
+        void peerUpdatesPreventEngineOverload() {
+            FleetSummary with = simulate("kingston", "landed", LoadPattern.HOT_WORKSPACE);
+            FleetSummary without = simulate("kingston", "no-peers", LoadPattern.HOT_WORKSPACE);
+            assertThat(with.maxLoadPerSlot(), lessThan(2.5));
             assertThat(with.worth(), greaterThan(without.worth() + 0.15));
         }
     }
 
-    /** The grown site of the users: 39 engines before few and before many routers, and more load than they carry. */
+    /** The users' enlarged site: 39 engines behind few or many routers, with more load than they can carry. */
     @Nested
-    class SizeOfTheFleet {
+    class FleetSize {
 
-        /** Routers know less of each other the more they are; that is to cost no more than a tenth. */
-        private static final double LEAST_OF_FEW = 0.9;
+        /** Routers know less about each other as their number grows; this may cost at most a tenth of the worth. */
+        private static final double MIN_WORTH_RATIO = 0.9;
 
         private double worth(int routers, LoadPattern pattern) {
             FleetSpec site = site("postvirki", "fleet-grown.ini").withRouters(routers);
             return FleetSummary.of(LongStream.rangeClosed(1, SEEDS / 2)
                             .parallel()
-                            .mapToObj(seed -> FleetSimulation.play(site, policy("landed"), pattern, seed))
+                            .mapToObj(seed -> FleetSimulation.simulate(site, policy("landed"), pattern, seed))
                             .toList())
                     .worth();
         }
 
         @Test
-        void manyRoutersEarnNearlyAsMuchAsFewInAnOverload() {
-            assertThat(worth(31, LoadPattern.OVERLOAD), greaterThan(LEAST_OF_FEW * worth(4, LoadPattern.OVERLOAD)));
+        void manyRoutersEarnNearlyAsMuchAsFewUnderOverload() {
+            assertThat(worth(31, LoadPattern.OVERLOAD), greaterThan(MIN_WORTH_RATIO * worth(4, LoadPattern.OVERLOAD)));
         }
 
         @Test
-        void manyRoutersEarnNearlyAsMuchAsFewBesideLostEngines() {
+        void manyRoutersEarnNearlyAsMuchAsFewDuringEngineLoss() {
             assertThat(
-                    worth(31, LoadPattern.ENGINE_LOSS), greaterThan(LEAST_OF_FEW * worth(4, LoadPattern.ENGINE_LOSS)));
+                    worth(31, LoadPattern.ENGINE_LOSS),
+                    greaterThan(MIN_WORTH_RATIO * worth(4, LoadPattern.ENGINE_LOSS)));
         }
     }
 
     /**
-     * Five data centres with a router for each engine, in the heaviest hours: what a router knows of the others is to
-     * be as fresh in a larger fleet, and their number to cost no more than three points of the worth.
+     * Five data centres with one router per engine, under the heaviest load: a router's knowledge of the others must be
+     * as fresh in a larger fleet, and their number may cost at most three percentage points of the worth.
      */
     @Nested
     class LargeFleet {
 
-        private static final double MOST_LOST = 0.03;
+        private static final double MAX_WORTH_LOSS = 0.03;
 
         private FleetSpec large() {
             return site("postvirki", "fleet-large.ini");
@@ -157,26 +160,26 @@
         private FleetSummary heaviest(FleetSpec site, String policy) {
             return FleetSummary.of(LongStream.rangeClosed(1, 2)
                     .parallel()
-                    .mapToObj(seed -> FleetSimulation.play(site, policy(policy), LoadPattern.HEAVIEST, seed))
+                    .mapToObj(seed -> FleetSimulation.simulate(site, policy(policy), LoadPattern.HEAVIEST, seed))
                     .toList());
         }
 
         @Test
-        void threeTimesTheFleetEarnsAsMuchOfItsWorth() {
-            double usual = heaviest(large(), "landed").worth();
-            assertThat(heaviest(large().grownTo(99), "landed").worth(), greaterThan(usual - MOST_LOST));
+        void tripledFleetEarnsSameWorth() {
+            double worthOfLarge = heaviest(large(), "landed").worth();
+            assertThat(heaviest(large().scaledTo(99), "landed").worth(), greaterThan(worthOfLarge - MAX_WORTH_LOSS));
         }
 
         @Test
         void manyRoutersEarnAsMuchAsFew() {
-            double few = heaviest(large().withRouters(5), "landed").worth();
-            assertThat(heaviest(large(), "landed").worth(), greaterThan(few - MOST_LOST));
+            double worthWithFew = heaviest(large().withRouters(5), "landed").worth();
+            assertThat(heaviest(large(), "landed").worth(), greaterThan(worthWithFew - MAX_WORTH_LOSS));
         }
 
         @Test
-        void noEngineIsFlooded() {
-            assertThat(heaviest(large(), "landed").mostAtOnce(), lessThan(2.0));
-            assertThat(heaviest(large(), "no-groups").mostAtOnce(), greaterThan(2.0));
+        void noEngineIsOverloaded() {
+            assertThat(heaviest(large(), "landed").maxLoadPerSlot(), lessThan(2.0));
+            assertThat(heaviest(large(), "no-groups").maxLoadPerSlot(), greaterThan(2.0));
         }
     }
 
@@ -184,7 +187,7 @@
     class SiteFiles {
 
         @Test
-        void aWrongKeyIsNamed() {
+        void errorNamesInvalidKey() {
             Either<SettingsException, FleetSpec> read = Settings.fromText(
                             "x.ini", "[site]\nrouters = 0\n[kind a]\nprompt = 3\n[workspace w]\n")
                     .flatMap(FleetSpec::read);
@@ -193,7 +196,7 @@
         }
 
         @Test
-        void aSiteWithoutKindsIsRefused() {
+        void siteWithoutKindsIsRejected() {
             Either<SettingsException, FleetSpec> read =
                     Settings.fromText("x.ini", "[site]\nrouters = 2\n").flatMap(FleetSpec::read);
             assertThat(read.getLeft().getMessage(), containsString("at least one"));
