--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterMetrics.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterMetrics.java
@@ -53,12 +53,16 @@
 
     /** Records the time from the arrival of a request to its first token, in microseconds. */
     public void firstTokenLatency(String tier, long us) {
-        firstTokenLatencyByTier.computeIfAbsent(tier, t -> LatencyHistogram.create()).recordUs(us);
+        firstTokenLatencyByTier
+                .computeIfAbsent(tier, t -> LatencyHistogram.create())
+                .recordUs(us);
     }
 
     /** Records the time between two consecutive tokens of a response, in microseconds. */
     public void interTokenLatency(String tier, long us) {
-        interTokenLatencyByTier.computeIfAbsent(tier, t -> LatencyHistogram.create()).recordUs(us);
+        interTokenLatencyByTier
+                .computeIfAbsent(tier, t -> LatencyHistogram.create())
+                .recordUs(us);
     }
 
     /**
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterNode.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/RouterNode.java
@@ -273,8 +273,8 @@
 
     private void requestPreemption(Action.RequestPreemption action) {
         long preemptionId = nextPreemptionId++;
-        PeerMessage.PreemptionRequest message =
-                new PeerMessage.PreemptionRequest(preemptionId, action.spec().tier().rank());
+        PeerMessage.PreemptionRequest message = new PeerMessage.PreemptionRequest(
+                preemptionId, action.spec().tier().rank());
         if (agentConnections.send(action.engineId(), message)) {
             pendingPreemptions.put(preemptionId, action.requestId());
         } else {
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeerUsageTracker.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/PeerUsageTracker.java
@@ -11,8 +11,8 @@
 final class PeerUsageTracker {
 
     /**
-     * Three missed intervals of {@link org.onyxhinge.core.place.PeerUpdateSchedule#PEER_HEARTBEAT_MS}, plus one message in
-     * flight.
+     * Three missed intervals of {@link org.onyxhinge.core.place.PeerUpdateSchedule#PEER_HEARTBEAT_MS}, plus one message
+     * in flight.
      */
     static final long SILENT_MS = 1_500;
 
@@ -35,7 +35,7 @@
     /** Applies a message; returns the sender's complete current usage. */
     PeerMessage.Usage update(PeerMessage.Usage usage, long nowMs) {
         PeerState peer = routers.computeIfAbsent(usage.routerId(), id -> new PeerState());
-        if (usage.whole() || peer.startId != usage.startId()) {
+        if (usage.full() || peer.startId != usage.startId()) {
             peer.uses.clear();
         }
         peer.startId = usage.startId();
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetRateLimits.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/TargetRateLimits.java
@@ -77,13 +77,13 @@
         long nowMs = MonotonicClock.nowMs();
         for (PeerMessage.LimitReport l : message.limits()) {
             long atMs = nowMs - l.agoMs();
-            boolean changed = l.named()
+            boolean changed = l.advertised()
                     ? placement.limitAdvertised(l.incarnation(), l.perSecond(), atMs)
                     : placement.limitNotAdvertised(l.incarnation(), atMs);
             if (changed) {
                 LOG.infof(
                         "target limit heard incarnation=%s named=%b perSecond=%s agoMs=%d",
-                        l.incarnation(), l.named(), l.perSecond(), l.agoMs());
+                        l.incarnation(), l.advertised(), l.perSecond(), l.agoMs());
             }
         }
     }
--- a/onyxhinge-tools/src/test/java/org/onyxhinge/tools/WholePathTest.java
+++ b/onyxhinge-tools/src/test/java/org/onyxhinge/tools/WholePathTest.java
@@ -106,7 +106,8 @@
     private Outcome send(WorkItem item) {
         Outcome o = Launch.await(driver.send(item), TestSite.CALL_TIMEOUT_MS);
         transcript.add(item.service() + " ws=" + item.workspace() + " tier=" + item.tier() + " -> status=" + o.status()
-                + " whole=" + o.complete() + " tokens=" + o.tokens() + " error=" + o.errorType() + " notRun=" + o.notRun()
+                + " whole=" + o.complete() + " tokens=" + o.tokens() + " error=" + o.errorType() + " notRun="
+                + o.notRun()
                 + " text=" + o.text().replaceAll("r1-[a-z0-9]+-[0-9]+", "<id>"));
         return o;
     }
--- a/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerCodec.java
+++ b/onyxhinge-wire/src/main/java/org/onyxhinge/wire/peer/PeerCodec.java
@@ -260,8 +260,7 @@
             case SLOT_RESERVED ->
                 new PeerMessage.SlotReserved(requireFields(u, fields, 1).unpackString());
             case SLOT_DEMAND ->
-                new PeerMessage.SlotDemand(
-                        requireFields(u, fields, 3).unpackString(), u.unpackString(), readCounts(u));
+                new PeerMessage.SlotDemand(requireFields(u, fields, 3).unpackString(), u.unpackString(), readCounts(u));
             case CRASHES -> readCrashes(u, fields);
             case SUSPECT_COMPLETED ->
                 new PeerMessage.SuspectCompleted(readFingerprint(requireFields(u, fields, 3)), u.unpackLong());
--- a/onyxhinge-wire/src/test/java/org/onyxhinge/wire/DecoderProperties.java
+++ b/onyxhinge-wire/src/test/java/org/onyxhinge/wire/DecoderProperties.java
@@ -94,13 +94,15 @@
         assertThat(PeerCodec.decode(PeerCodec.encode(crashes)), equalTo(crashes));
         PeerMessage.TargetLimits limits = limits(startId);
         assertThat(PeerCodec.decode(PeerCodec.encode(limits)), equalTo(limits));
-        PeerMessage.SuspectCompleted answered = new PeerMessage.SuspectCompleted(new RequestFingerprint(startId, 2), startId);
+        PeerMessage.SuspectCompleted answered =
+                new PeerMessage.SuspectCompleted(new RequestFingerprint(startId, 2), startId);
         assertThat(PeerCodec.decode(PeerCodec.encode(answered)), equalTo(answered));
     }
 
     private static PeerMessage.TargetLimits limits(long number) {
         return new PeerMessage.TargetLimits(List.of(
-                new PeerMessage.LimitReport("w1@7", true, 2.4, number), new PeerMessage.LimitReport("w2", false, 0, 7)));
+                new PeerMessage.LimitReport("w1@7", true, 2.4, number),
+                new PeerMessage.LimitReport("w2", false, 0, 7)));
     }
 
     private static PeerMessage.Crashes crashes(long number) {
