--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/AttemptHistory.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/AttemptHistory.java
@@ -51,7 +51,7 @@
     }
 
     /** Whether the request may be sent once more; if so, consumes a retry from the service's budget. */
-    boolean tryRetry(CallPlan plan, Forwarder forwarder) {
+    boolean consumeRetry(CallPlan plan, Forwarder forwarder) {
         return sendCount < plan.route().maxAttempts()
                 && plan.hasTimeForRetry()
                 && forwarder.retries().tryRetry(plan.service(), forwarder.routers(), MonotonicClock.nowMs());
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Exchange.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Exchange.java
@@ -274,7 +274,7 @@
         forwarder.metrics().event("sends.shed");
         if (!finished) {
             history.exclude(a.target());
-            if (history.tryRetry(plan, forwarder)) {
+            if (history.consumeRetry(plan, forwarder)) {
                 submit();
             } else {
                 endWithoutTarget("target_full", Forwarder.SHED_RETRY_MS);
@@ -292,7 +292,7 @@
         boolean retriable = head.status() >= 500 && plan.route().kind() == CallKind.IDEMPOTENT;
         if (retriable && history.fallback() == null) {
             history.exclude(a.target());
-            if (history.tryRetry(plan, forwarder)) {
+            if (history.consumeRetry(plan, forwarder)) {
                 history.keepFallback(new FallbackResponse(head, response, responseBody));
                 submit();
                 return;
@@ -360,7 +360,7 @@
         }
         boolean retryAllowed =
                 plan.route().repeatable() && forwarder.crashQuarantine().mayBeRepeated(fingerprint);
-        if (retryAllowed && history.tryRetry(plan, forwarder)) {
+        if (retryAllowed && history.consumeRetry(plan, forwarder)) {
             submit();
         } else {
             endWithoutTarget("target_broke", 0);
@@ -374,7 +374,7 @@
         excluded.add(a.target().incarnation());
         boolean canMove = !finished
                 && forwarder.placement().canSendNow(call(excluded), MonotonicClock.nowMs())
-                && history.tryRetry(plan, forwarder);
+                && history.consumeRetry(plan, forwarder);
         if (canMove) {
             a.cancel();
             recordBrokenAttempt(a, why);
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Forwarder.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/Forwarder.java
@@ -230,7 +230,7 @@
     /** Starts a graceful shutdown; completes when the process may exit. */
     public Future<Void> drain() {
         Promise<Void> done = Promise.promise();
-        shutdown.countRequest();
+        shutdown.markRequested();
         context.runOnContext(v -> shutdown.run(vertx, callers, exchanges::size, this::abortRemaining)
                 .onComplete(done));
         return done.future();
--- a/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/GracefulShutdown.java
+++ b/onyxhinge-router/src/main/java/org/onyxhinge/router/forward/GracefulShutdown.java
@@ -71,7 +71,7 @@
     }
 
     /** Marks the shutdown as requested. */
-    void countRequest() {
+    void markRequested() {
         startedAtMs = MonotonicClock.nowMs();
         started = true;
         LOG.infof("draining started graceMs=%d", graceMs);
