--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Builds the router for the platform under target/: its jars, a Java runtime with just the modules it
-# needs, and an archive of the classes that a rehearsal of the whole path loads. It is what makes a
-# restart short: loading and linking classes is most of the work between a start and the first answer.
+# Builds the router for the platform under target/: its jars, a Java runtime with only the modules it needs, and
+# a class data sharing (CDS) archive of the classes loaded during an end-to-end training run. The archive shortens
+# restarts, because class loading and linking takes most of the time between process start and the first response.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/jdk.sh
@@ -14,11 +14,12 @@
   --add-modules java.base,java.logging,java.management,java.naming,java.xml,java.sql,java.desktop,jdk.unsupported
 classpath=$(ls target/onyxhinge/lib/*.jar | tr '\n' ':')
 sed "s|@CLASSPATH@|${classpath%:}|" deploy/jvm.opts > target/onyxhinge/jvm.opts
-# The archive holds for exactly these options and this class path, so all runs read them from one file.
+# The archive is valid only for exactly these options and this class path, so every run reads them from one file.
 java="target/runtime/bin/java @target/onyxhinge/jvm.opts"
 main=org.onyxhinge.platform.PlatformMain
-# The classes are those that one of two routers loads as a process of its own; stand-ins and callers run in another, or
-# their classes would be in the archive too, and each class there costs a start a little (all of them a tenth of it).
+# The class list comes from one of two routers, each running in its own process. The simulated services and the clients
+# run in a separate process to keep their classes out of the archive: each archived class adds to the startup time, and
+# theirs together add a tenth of it.
 rehearsal=target/onyxhinge/rehearsal
 mkdir -p $rehearsal
 $java $main demo --rounds 30 --routers-apart $rehearsal > $rehearsal/demo.log 2>&1 &
