--- a/scripts/regen-proto.sh
+++ b/scripts/regen-proto.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Regenerates the committed protobuf classes of onyxhinge-api from admin.proto.
-# The build never runs this: generated code is committed so no generator is needed to build.
+# The build does not run this script: the generated code is committed, so building needs no protoc.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 out=$(mktemp -d)
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Set-up on a fresh Debian machine: a JDK 21+ (Temurin 25 where the image has it), Maven, and the
-# project's dependencies from Maven Central, then a build without tests.
+# Sets up a new Debian machine: selects a JDK 21 or newer (Temurin 25 where the image has it), installs Maven if
+# missing, downloads the dependencies from Maven Central, and builds the project without running the tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 if ! command -v mvn >/dev/null 2>&1; then
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The test command: compiles, runs every test (unit, property, whole-path with separate processes),
-# then Spotless and Checkstyle. Randomised tests are seeded, so the verdict is the same every run.
+# Compiles, runs all tests (unit, property, and end-to-end with separate processes), then runs Spotless and
+# Checkstyle. Randomised tests use fixed seeds, so that every run gives the same result.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/jdk.sh
